--- a/node/answer.go
+++ b/node/answer.go
@@ -272,7 +272,7 @@
 
 // setCallHeaders sets what an upstream needs to make calls of its own under this one.
 func (e *executor) setCallHeaders(
-	header http.Header, target *upstream, head *protocol.CallHead, remaining time.Duration,
+	header http.Header, target *upstream, head *protocol.CallMetadata, remaining time.Duration,
 ) {
 	set := func(name, value string) {
 		if name != "" && value != "" {
--- a/node/call_stream.go
+++ b/node/call_stream.go
@@ -23,16 +23,16 @@
 	if err != nil {
 		return err
 	}
-	if first.Head == nil {
+	if first.Metadata == nil {
 		return errors.Wrap(protocol.ErrMalformed, "call without a head")
 	}
 	body := &requestBody{start: first.Body, trailer: first.Trailer}
 	if !first.Last {
-		body.trailer = declaredTrailer(first.Head.TrailerNames)
+		body.trailer = declaredTrailer(first.Metadata.TrailerNames)
 		body.rest = &frameReader{recv: stream.Recv, trailer: body.trailer}
 	}
-	progress := startProgress(stream, first.Head.Progress)
-	answer := n.executor.run(stream.Context(), first.Head, body)
+	progress := startProgress(stream, first.Metadata.Progress)
+	answer := n.executor.run(stream.Context(), first.Metadata, body)
 	progress.stop()
 	defer answer.finish()
 	return sendReply(stream, answer)
@@ -79,7 +79,7 @@
 }
 
 func sendReply(stream rpc.CallServerStream, answer *reply) error {
-	frame := &protocol.ReplyFrame{Head: &answer.head, Body: answer.body}
+	frame := &protocol.ReplyFrame{Metadata: &answer.head, Body: answer.body}
 	if answer.stream == nil {
 		frame.Last = true
 		frame.Trailer = answer.trailer
@@ -146,7 +146,7 @@
 
 // callRemote sends a call to the node beside the target. It calls reached once the executor has shown that it has it.
 func (n *Node) callRemote(
-	caller context.Context, target balance.Target, head *protocol.CallHead, body *requestBody, reached func(),
+	caller context.Context, target balance.Target, head *protocol.CallMetadata, body *requestBody, reached func(),
 ) *reply {
 	ctx, cancel := context.WithCancel(caller)
 	pending := n.liveness.sent(target, head.Class, cancel)
@@ -167,12 +167,12 @@
 		pending.heard()
 		first, err = stream.Recv()
 	}
-	if err != nil || first.Head == nil {
+	if err != nil || first.Metadata == nil {
 		cancel()
 		return brokenCall(caller, err)
 	}
 	pending.heard()
-	answer := &reply{head: *first.Head, body: first.Body, trailer: first.Trailer, done: cancel}
+	answer := &reply{head: *first.Metadata, body: first.Body, trailer: first.Trailer, done: cancel}
 	if first.Last {
 		return answer
 	}
@@ -192,8 +192,8 @@
 }
 
 // sendCall sends the head with the start of the body, then the rest.
-func sendCall(stream rpc.CallClientStream, head *protocol.CallHead, body *requestBody) error {
-	first := &protocol.CallFrame{Head: head, Body: body.start, Last: body.whole()}
+func sendCall(stream rpc.CallClientStream, head *protocol.CallMetadata, body *requestBody) error {
+	first := &protocol.CallFrame{Metadata: head, Body: body.start, Last: body.whole()}
 	if body.whole() {
 		first.Trailer = body.trailer
 		return stream.Send(first)
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -31,7 +31,7 @@
 
 // reply is an executor's answer to one call.
 type reply struct {
-	head protocol.ReplyHead
+	head protocol.ReplyMetadata
 	// body is the whole body, or its start if stream is set.
 	body    []byte
 	trailer http.Header
@@ -68,10 +68,10 @@
 
 // refusal is the reply to a call that was not run.
 func refusal(reason protocol.Reason) *reply {
-	return &reply{head: protocol.ReplyHead{Outcome: protocol.OutcomeNotRun, Reason: reason}}
+	return &reply{head: protocol.ReplyMetadata{Outcome: protocol.OutcomeNotRun, Reason: reason}}
 }
 
 // uncertain is the reply to a call that may have run.
 func uncertain(reason protocol.Reason) *reply {
-	return &reply{head: protocol.ReplyHead{Outcome: protocol.OutcomeUnknown, Reason: reason}}
+	return &reply{head: protocol.ReplyMetadata{Outcome: protocol.OutcomeUnknown, Reason: reason}}
 }
--- a/node/executor.go
+++ b/node/executor.go
@@ -77,7 +77,7 @@
 const drainTolerance = 3 * time.Second
 
 // admit waits for a slot. On refusal the reason is set and the call was not run.
-func (e *executor) admit(ctx context.Context, head *protocol.CallHead, deadline time.Time) (*place, protocol.Reason) {
+func (e *executor) admit(ctx context.Context, head *protocol.CallMetadata, deadline time.Time) (*place, protocol.Reason) {
 	now := time.Now()
 	fingerprint := quarantine.Fingerprint(head.Fingerprint)
 	verdict := e.quarantine.Verdict(now, fingerprint)
@@ -91,7 +91,7 @@
 	}
 	e.nextID++
 	id := e.nextID
-	call := &runningCall{fingerprint: fingerprint, alone: head.Alone || verdict == quarantine.Alone}
+	call := &runningCall{fingerprint: fingerprint, alone: head.Exclusive || verdict == quarantine.Alone}
 	ticket := admission.Ticket{
 		ID: id, Class: head.Class, Priority: head.Priority, Route: head.Route, Deadline: deadline, Alone: call.alone,
 	}
@@ -118,7 +118,7 @@
 }
 
 // unavailable returns why the upstream takes no calls. The lock is held.
-func (e *executor) unavailable(head *protocol.CallHead) protocol.Reason {
+func (e *executor) unavailable(head *protocol.CallMetadata) protocol.Reason {
 	switch {
 	case e.state == upstreamDraining:
 		return protocol.ReasonDraining
--- a/node/ingress.go
+++ b/node/ingress.go
@@ -42,7 +42,7 @@
 	snapshot *snapshot
 	route    *routing.Route
 	policy   *routePolicy
-	head     protocol.CallHead
+	head     protocol.CallMetadata
 	body     requestBody
 	// bounded reads the streamed rest of the body; nil for a body that is buffered whole.
 	bounded  *boundedReader
@@ -137,7 +137,7 @@
 	if dialect.CallerService != "" {
 		header[http.CanonicalHeaderKey(dialect.CallerService)] = []string{c.node.executor.localService()}
 	}
-	c.head = protocol.CallHead{
+	c.head = protocol.CallMetadata{
 		Service: c.policy.split.Next(), Route: c.route.Name, Class: c.route.Class, Method: r.Method, URI: requestURI(r),
 		Host: r.Host, Header: protocol.Fields(header), Depth: depth, Retry: dialect.Retry != "" && r.Header.Get(dialect.Retry) != "",
 		ContentLength: r.ContentLength, Version: c.snapshot.version, Priority: c.route.Priority,
@@ -232,7 +232,7 @@
 }
 
 // requestDigest covers what makes two requests under one key the same request.
-func requestDigest(head *protocol.CallHead, body [32]byte) [32]byte {
+func requestDigest(head *protocol.CallMetadata, body [32]byte) [32]byte {
 	hash := sha256.New()
 	for _, field := range []string{head.Service, head.Method, head.URI} {
 		var length [8]byte
@@ -276,7 +276,7 @@
 	head.Remaining = c.deadline.Sub(now) - c.node.options.zoneDelay(target.Zone)
 	head.Patience = c.patience()
 	head.Incarnation = target.Incarnation
-	head.Alone = c.alone
+	head.Exclusive = c.alone
 	head.Retry = c.head.Retry || retried
 	answer := c.node.send(ctx, target, &head, &c.body, reached)
 	if c.bounded != nil && c.bounded.exceeded.Load() && answer.head.Outcome != protocol.OutcomeDone {
@@ -325,7 +325,7 @@
 
 // send runs a call on the upstream beside this node, or through the node beside another one.
 func (n *Node) send(
-	ctx context.Context, target balance.Target, head *protocol.CallHead, body *requestBody, reached func(),
+	ctx context.Context, target balance.Target, head *protocol.CallMetadata, body *requestBody, reached func(),
 ) *reply {
 	if target.ID == n.id {
 		reached()
--- a/node/once.go
+++ b/node/once.go
@@ -35,7 +35,7 @@
 // recorded whether or not anybody waits.
 type onceCall struct {
 	executor *executor
-	head     *protocol.CallHead
+	head     *protocol.CallMetadata
 	body     *requestBody
 	deadline time.Time
 	machine  *execution.Machine
@@ -55,7 +55,7 @@
 // runOnce runs an irreversible call at most once. The claim comes before the slot: a slot that waits for a quorum commit
 // across zones would leave the upstream idle for that time.
 func (e *executor) runOnce(
-	ctx context.Context, head *protocol.CallHead, body *requestBody, deadline time.Time,
+	ctx context.Context, head *protocol.CallMetadata, body *requestBody, deadline time.Time,
 ) *reply {
 	if !body.whole() {
 		return refusal(protocol.ReasonTooLarge)
@@ -90,7 +90,7 @@
 
 // beginClaim returns the number of a new attempt, or why the call is refused. The calls between claim and slot are
 // bounded like a queue, so that an overload is refused before it reaches the ledger.
-func (e *executor) beginClaim(head *protocol.CallHead) (uint64, protocol.Reason) {
+func (e *executor) beginClaim(head *protocol.CallMetadata) (uint64, protocol.Reason) {
 	if e.quarantine.Verdict(time.Now(), quarantine.Fingerprint(head.Fingerprint)) == quarantine.Refused {
 		return 0, protocol.ReasonQuarantined
 	}
@@ -113,7 +113,7 @@
 	e.claiming--
 }
 
-func (e *executor) claim(head *protocol.CallHead, attempt uint64) ledger.Claim {
+func (e *executor) claim(head *protocol.CallMetadata, attempt uint64) ledger.Claim {
 	return ledger.Claim{
 		Key: head.Key, Route: head.Route, RequestDigest: head.RequestDigest,
 		Executor: e.id, Incarnation: e.incarnation, Attempt: attempt,
@@ -350,12 +350,12 @@
 // answerReply passes on a recorded answer.
 func answerReply(answer *ledger.Answer) *reply {
 	if answer.Dropped {
-		return &reply{head: protocol.ReplyHead{
+		return &reply{head: protocol.ReplyMetadata{
 			Outcome: protocol.OutcomeDone, Reason: protocol.ReasonAnswerDropped, Status: http.StatusGone,
 		}}
 	}
 	return &reply{
-		head: protocol.ReplyHead{
+		head: protocol.ReplyMetadata{
 			Outcome: protocol.OutcomeDone, Status: answer.Status, Header: answer.Header,
 			ContentLength: int64(len(answer.Body)),
 		},
--- a/node/requestlog.go
+++ b/node/requestlog.go
@@ -134,7 +134,7 @@
 }
 
 // call reports the end of a call at the node beside the upstream. waited is the time until it had a slot or was refused.
-func (l *requestLog) call(head *protocol.CallHead, answer *reply, waited time.Duration) {
+func (l *requestLog) call(head *protocol.CallMetadata, answer *reply, waited time.Duration) {
 	failed := answer.head.Outcome != protocol.OutcomeDone || answer.failedByUpstream()
 	event := l.about(requestID(head), failed)
 	if event == nil {
@@ -158,4 +158,4 @@
 }
 
 // requestID returns the caller's name for the request, or its idempotency key.
-func requestID(head *protocol.CallHead) string { return cmp.Or(head.RequestID, head.Key) }
+func requestID(head *protocol.CallMetadata) string { return cmp.Or(head.RequestID, head.Key) }
--- a/node/run.go
+++ b/node/run.go
@@ -19,7 +19,7 @@
 const inlineBytes = 64 << 10
 
 // run carries out one call. The context ends when the caller leaves or the deadline passes.
-func (e *executor) run(ctx context.Context, head *protocol.CallHead, body *requestBody) *reply {
+func (e *executor) run(ctx context.Context, head *protocol.CallMetadata, body *requestBody) *reply {
 	arrived := time.Now()
 	deadline := arrived.Add(head.Remaining)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
@@ -31,7 +31,7 @@
 }
 
 // report adds the upstream's load to an answer, and counts and logs the call.
-func (e *executor) report(head *protocol.CallHead, answer *reply, arrived time.Time) *reply {
+func (e *executor) report(head *protocol.CallMetadata, answer *reply, arrived time.Time) *reply {
 	answer.head.Load = e.load()
 	switch {
 	case answer.head.Outcome == protocol.OutcomeNotRun:
@@ -47,7 +47,7 @@
 // upstream only after a refusal. A call of the latter kind is not broken off once it runs: its caller may have left, but
 // half of an irreversible request helps nobody.
 func (e *executor) runUnrecorded(
-	ctx context.Context, head *protocol.CallHead, body *requestBody, deadline time.Time,
+	ctx context.Context, head *protocol.CallMetadata, body *requestBody, deadline time.Time,
 ) *reply {
 	slot, reason := e.admit(ctx, head, deadline)
 	if slot == nil {
@@ -63,7 +63,7 @@
 
 // exchange sends a call that has a slot to its upstream.
 func (e *executor) exchange(
-	ctx context.Context, head *protocol.CallHead, body *requestBody, slot *place, deadline time.Time,
+	ctx context.Context, head *protocol.CallMetadata, body *requestBody, slot *place, deadline time.Time,
 ) *reply {
 	started := time.Now()
 	request := e.upstreamRequest(slot.upstream, head, body, deadline)
@@ -87,7 +87,7 @@
 
 // relayAnswer buffers a short answer whole, or streams a long one.
 func (e *executor) relayAnswer(
-	ctx context.Context, head *protocol.CallHead, slot *place, started time.Time, answer *web.UpstreamAnswer,
+	ctx context.Context, head *protocol.CallMetadata, slot *place, started time.Time, answer *web.UpstreamAnswer,
 ) *reply {
 	start, ended, err := readStart(answer.Response.Body)
 	if err != nil {
@@ -123,7 +123,7 @@
 }
 
 func (e *executor) upstreamRequest(
-	target *upstream, head *protocol.CallHead, body *requestBody, deadline time.Time,
+	target *upstream, head *protocol.CallMetadata, body *requestBody, deadline time.Time,
 ) web.UpstreamRequest {
 	header := http.Header(head.Header).Clone()
 	if header == nil {
@@ -150,12 +150,12 @@
 	return request
 }
 
-func replyHead(method string, answer *web.UpstreamAnswer) protocol.ReplyHead {
+func replyHead(method string, answer *web.UpstreamAnswer) protocol.ReplyMetadata {
 	header := web.CopyHeader(answer.Response.Header)
 	if answer.Response.ContentLength >= 0 && bodyAllowed(method, answer.Response.StatusCode) {
 		header.Del("Content-Length") // The ingress sets it from the head.
 	}
-	return protocol.ReplyHead{
+	return protocol.ReplyMetadata{
 		Outcome:       protocol.OutcomeDone,
 		Status:        answer.Response.StatusCode,
 		Header:        protocol.Fields(header),
@@ -183,7 +183,7 @@
 }
 
 // succeeded clears a suspicion against the request.
-func (e *executor) succeeded(head *protocol.CallHead) {
+func (e *executor) succeeded(head *protocol.CallMetadata) {
 	report, changed := e.quarantine.Succeeded(time.Now(), quarantine.Fingerprint(head.Fingerprint))
 	if changed {
 		e.publish(report)
--- a/protocol/call.go
+++ b/protocol/call.go
@@ -9,8 +9,8 @@
 // ChunkBytes is the largest body part that one frame carries.
 const ChunkBytes = 64 << 10
 
-// CallHead opens a call from an ingress to the executor beside the chosen upstream.
-type CallHead struct {
+// CallMetadata opens a call from an ingress to the executor beside the chosen upstream.
+type CallMetadata struct {
 	Service string       `cbor:"1,keyasint"`
 	Route   string       `cbor:"2,keyasint"`
 	Class   bundle.Class `cbor:"3,keyasint"`
@@ -30,9 +30,9 @@
 	Incarnation uint64 `cbor:"13,keyasint,omitempty"`
 	// Fingerprint identifies the request among those that crash upstreams.
 	Fingerprint [16]byte `cbor:"14,keyasint,omitzero"`
-	// Alone asks the executor to run the call with no other call in flight.
-	Alone   bool   `cbor:"15,keyasint,omitempty"`
-	Version uint64 `cbor:"16,keyasint,omitempty"`
+	// Exclusive asks the executor to run the call with no other call in flight.
+	Exclusive bool   `cbor:"15,keyasint,omitempty"`
+	Version   uint64 `cbor:"16,keyasint,omitempty"`
 	// TrailerNames declares the trailer fields that follow a streamed body.
 	TrailerNames []string `cbor:"19,keyasint,omitempty"`
 	// RequestDigest identifies the content of an irreversible request.
@@ -47,12 +47,12 @@
 	Progress bool `cbor:"21,keyasint,omitempty"`
 }
 
-// CallFrame is one message from ingress to executor. The first frame has a head; Last ends the request.
+// CallFrame is one message from ingress to executor. The first frame has metadata; Last ends the request.
 type CallFrame struct {
-	Head    *CallHead           `cbor:"1,keyasint,omitempty"`
-	Body    []byte              `cbor:"2,keyasint,omitempty"`
-	Last    bool                `cbor:"3,keyasint,omitempty"`
-	Trailer map[string][]string `cbor:"4,keyasint,omitempty"`
+	Metadata *CallMetadata       `cbor:"1,keyasint,omitempty"`
+	Body     []byte              `cbor:"2,keyasint,omitempty"`
+	Last     bool                `cbor:"3,keyasint,omitempty"`
+	Trailer  map[string][]string `cbor:"4,keyasint,omitempty"`
 }
 
 // LoadReport is the executor's first-hand knowledge of its upstream, carried on every answer.
@@ -63,8 +63,8 @@
 	LatencyMicros int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// ReplyHead opens an executor's answer.
-type ReplyHead struct {
+// ReplyMetadata opens an executor's answer.
+type ReplyMetadata struct {
 	Outcome Outcome `cbor:"1,keyasint"`
 	Reason  Reason  `cbor:"2,keyasint,omitempty"`
 	Status  int     `cbor:"3,keyasint,omitempty"`
@@ -81,10 +81,10 @@
 // ReplyFrame is one message from executor to ingress. Last ends a whole answer; a stream that ends without it
 // was cut and the answer is not whole.
 type ReplyFrame struct {
-	Head    *ReplyHead          `cbor:"1,keyasint,omitempty"`
-	Body    []byte              `cbor:"2,keyasint,omitempty"`
-	Last    bool                `cbor:"3,keyasint,omitempty"`
-	Trailer map[string][]string `cbor:"4,keyasint,omitempty"`
-	// Progress tells, before the head, that the executor has the call. Such a frame has no other field.
+	Metadata *ReplyMetadata      `cbor:"1,keyasint,omitempty"`
+	Body     []byte              `cbor:"2,keyasint,omitempty"`
+	Last     bool                `cbor:"3,keyasint,omitempty"`
+	Trailer  map[string][]string `cbor:"4,keyasint,omitempty"`
+	// Progress tells, before the metadata, that the executor has the call. Such a frame has no other field.
 	Progress bool `cbor:"5,keyasint,omitempty"`
 }
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -26,7 +26,7 @@
 		Message: &relay.Message{Poll: &relay.Poll{Sequence: 3, Counts: &relay.Aggregate{Nodes: 2, Lowest: 1}}},
 	}
 	call = protocol.CallFrame{
-		Head: &protocol.CallHead{
+		Metadata: &protocol.CallMetadata{
 			Service: "desk", Route: "promote", Class: bundle.ClassIrreversible, Method: "POST", URI: "/p?a=1", Host: "h",
 			Header: map[string][]string{"A": {"1", "2"}}, Remaining: time.Second, Depth: 3, Retry: true, Key: "k",
 			ContentLength: -1, Incarnation: 1 << 63, Fingerprint: [16]byte{1}, RequestDigest: [32]byte{2},
@@ -35,7 +35,7 @@
 		Body: []byte("body"), Last: true, Trailer: map[string][]string{"X-Sum": {"1"}},
 	}
 	reply = protocol.ReplyFrame{
-		Head: &protocol.ReplyHead{
+		Metadata: &protocol.ReplyMetadata{
 			Outcome: protocol.OutcomeDone, Status: 200, ContentLength: 4,
 			Header: protocol.Fields{"Content-Type": {"text/plain"}, "X-Sum": {""}, "Vary": {"Accept", "Origin"}, "Date": {}},
 		},
@@ -77,7 +77,7 @@
 	// Guards against heads that are several times as long as a small answer: most calls have neither a body nor a key, and
 	// links between zones are charged by the byte.
 	It("sends no usual header name and no empty digest with a call", func() {
-		head := protocol.CallHead{Header: protocol.Fields{
+		head := protocol.CallMetadata{Header: protocol.Fields{
 			"Accept": {"*/*"}, "Accept-Encoding": {"identity"}, "X-Request-Id": {"1"}, "User-Agent": {"client"}, "X-Own": {"2"},
 		}}
 		data := encoded(head)
