--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -63,12 +63,12 @@
 	// Route groups calls that take about as long as each other.
 	Route    string
 	Deadline time.Time
-	// Target is the time until which an answer has its full value; zero if there is none. A call that would wait beyond it
+	// TargetTime is the time until which an answer has its full value; zero if there is none. A call that would wait beyond it
 	// is refused at once: under overload a slot is worth more to a call that is still in time, and the caller can use the
 	// time that is left elsewhere or later.
-	Target time.Time
-	// Alone means that the call must be the only one in flight on the upstream.
-	Alone bool
+	TargetTime time.Time
+	// Exclusive means that the call must be the only one in flight on the upstream.
+	Exclusive bool
 }
 
 // Config holds the settings of a Queue. Zero fields take the defaults.
@@ -77,9 +77,9 @@
 	Slots int
 	// QueueLimit bounds the waiting calls of each class.
 	QueueLimit int
-	// AloneShare bounds the part of the time that the upstream is reserved for calls that must run alone while other
+	// ExclusiveShare bounds the part of the time that the upstream is reserved for calls that must run alone while other
 	// calls wait, including the time to empty the slots. It also bounds their part of the places in a queue.
-	AloneShare float64
+	ExclusiveShare float64
 	// EstimateLifetime is the time for which the estimate of the service time holds if no call finishes. Without this
 	// limit, an estimate above the deadlines would shed every call and never be corrected.
 	EstimateLifetime time.Duration
@@ -89,14 +89,14 @@
 const (
 	DefaultSlots            = 10
 	DefaultQueueLimit       = 100
-	DefaultAloneShare       = 0.1
+	DefaultExclusiveShare   = 0.1
 	DefaultEstimateLifetime = time.Second
 )
 
 func (c Config) withDefaults() Config {
 	c.Slots = cmp.Or(c.Slots, DefaultSlots)
 	c.QueueLimit = cmp.Or(c.QueueLimit, DefaultQueueLimit)
-	c.AloneShare = cmp.Or(c.AloneShare, DefaultAloneShare)
+	c.ExclusiveShare = cmp.Or(c.ExclusiveShare, DefaultExclusiveShare)
 	c.EstimateLifetime = cmp.Or(c.EstimateLifetime, DefaultEstimateLifetime)
 	return c
 }
@@ -109,66 +109,66 @@
 const maxRouteEstimates = 256
 
 var (
-	run  = Verdict{Action: Run}
-	wait = Verdict{Action: Wait}
+	verdictRun  = Verdict{Action: Run}
+	verdictWait = Verdict{Action: Wait}
 )
 
 // Queue holds the slots and the waiting calls of one upstream.
 type Queue struct {
-	config   Config
-	running  map[uint64]*call
-	waiting  map[uint64]*call
-	classes  [classCount]class
-	routes   map[string]*estimate // service time of each route
-	total    estimate             // service time over all classes
-	pending  []Decision
-	draining bool
-	// seen is the time of the last input.
-	seen time.Time
-	isolation
-}
-
-// isolation holds the state of calls that must run alone.
-type isolation struct {
-	// reserved is the call for which the slots are being emptied, or that runs alone.
-	reserved *call
-	since    time.Time
-	// notBefore is the time from which the slots may be emptied for a further call.
-	notBefore time.Time
+	config            Config
+	running           map[uint64]*call
+	waiting           map[uint64]*call
+	ranks             [rankCount]rankQueue
+	routeServiceTimes map[string]*estimate // service time of each route
+	serviceTime       estimate             // service time over all classes
+	pending           []Decision
+	draining          bool
+	// lastInput is the time of the last input.
+	lastInput time.Time
+	reservation
+}
+
+// reservation holds the state of calls that must run alone.
+type reservation struct {
+	// reservedFor is the call for which the slots are being emptied, or that runs alone.
+	reservedFor *call
+	reservedAt  time.Time
+	// nextReservation is the time from which the slots may be emptied for a further call.
+	nextReservation time.Time
 }
 
 // New returns an empty queue.
 func New(c Config) *Queue {
 	return &Queue{
 		config: c.withDefaults(), running: make(map[uint64]*call), waiting: make(map[uint64]*call),
-		routes: make(map[string]*estimate),
+		routeServiceTimes: make(map[string]*estimate),
 	}
 }
 
 // Offer decides on a new call. Its identifier must not be in use. Decisions on other calls that follow from it are
 // returned by the next call of Expire, Finish or Cancel; NextExpiry is due at once in this case.
 func (q *Queue) Offer(now time.Time, t Ticket) Verdict {
-	q.seen = now
+	q.lastInput = now
 	c := newCall(t, now)
-	c.order = now.Add(shortFirst * q.need(c, now))
+	c.sortTime = now.Add(overtakeServiceTimes * q.expectedService(c, now))
 	switch {
 	case q.draining:
 		return q.shed(c, ReasonDraining)
-	case c.remaining(now) <= q.need(c, now):
+	case c.remaining(now) <= q.expectedService(c, now):
 		return q.shed(c, ReasonDeadline)
 	case q.mayStart(c):
 		q.start(c, now)
-		return run
-	case c.remaining(now) < q.need(c, now)+q.expectedWait(c, now):
+		return verdictRun
+	case c.remaining(now) < q.expectedService(c, now)+q.expectedWait(c, now):
 		return q.shed(c, ReasonDeadline)
-	case q.wouldMissTarget(c, now):
+	case q.waitMissesTarget(c, now):
 		return q.shed(c, ReasonTarget)
-	case !q.makeRoom(c, now):
+	case !q.makeQueueRoom(c, now):
 		return q.shed(c, ReasonQueueFull)
 	}
 	q.enqueue(c)
 	q.reserve(now)
-	return wait
+	return verdictWait
 }
 
 // Cancel frees the slot or the place in the queue of a call whose caller left.
@@ -185,9 +185,9 @@
 // Finish frees the slot of a call that ran for the given time.
 func (q *Queue) Finish(now time.Time, id uint64, service time.Duration) []Decision {
 	if c, ok := q.running[id]; ok {
-		q.class(c).service.add(now, service)
-		q.routeEstimate(c.route).add(now, service)
-		q.total.add(now, service)
+		q.rankQueue(c).serviceTime.add(now, service)
+		q.routeServiceTime(c.route).add(now, service)
+		q.serviceTime.add(now, service)
 		q.stop(c, now)
 	}
 	return q.dispatch(now)
@@ -202,19 +202,19 @@
 		return time.Time{}, true
 	}
 	var next time.Time
-	for i := range q.classes {
-		class := &q.classes[i]
+	for i := range q.ranks {
+		class := &q.ranks[i]
 		if len(class.byDeadline) == 0 {
 			continue
 		}
 		first := class.byDeadline[0]
-		at := first.deadline.Add(-q.need(first, q.seen))
+		at := first.deadline.Add(-q.expectedService(first, q.lastInput))
 		if next.IsZero() || at.Before(next) {
 			next = at
 		}
 	}
-	if q.reserved == nil && q.hasAlone() && q.notBefore.After(q.seen) && q.notBefore.Before(next) {
-		next = q.notBefore
+	if q.reservedFor == nil && q.exclusiveWaits() && q.nextReservation.After(q.lastInput) && q.nextReservation.Before(next) {
+		next = q.nextReservation
 	}
 	return next, len(q.waiting) > 0
 }
@@ -225,7 +225,7 @@
 		InFlight:      len(q.running),
 		Queued:        len(q.waiting),
 		Slots:         q.config.Slots,
-		LatencyMicros: q.total.mean.Microseconds(),
+		LatencyMicros: q.serviceTime.mean.Microseconds(),
 	}
 }
 
@@ -233,9 +233,9 @@
 // Calls in flight are not affected.
 func (q *Queue) Drain() {
 	q.draining = true
-	for i := range q.classes {
-		for len(q.classes[i].byDeadline) > 0 {
-			q.evict(q.classes[i].byDeadline[0], ReasonDraining, time.Time{})
+	for i := range q.ranks {
+		for len(q.ranks[i].byDeadline) > 0 {
+			q.evict(q.ranks[i].byDeadline[0], ReasonDraining, time.Time{})
 		}
 	}
 }
@@ -245,28 +245,28 @@
 
 // shed counts a refused call and returns its verdict.
 func (q *Queue) shed(c *call, reason Reason) Verdict {
-	q.class(c).shed[reason]++
+	q.rankQueue(c).shed[reason]++
 	return Verdict{Action: Shed, Reason: reason}
 }
 
-func (q *Queue) class(c *call) *class { return &q.classes[c.class] }
+func (q *Queue) rankQueue(c *call) *rankQueue { return &q.ranks[c.rank] }
 
-// need returns the time that a call is expected to run.
-func (q *Queue) need(c *call, now time.Time) time.Duration {
-	return q.routeEstimate(c.route).at(now, q.config.EstimateLifetime)
+// expectedService returns the time that a call is expected to run.
+func (q *Queue) expectedService(c *call, now time.Time) time.Duration {
+	return q.routeServiceTime(c.route).current(now, q.config.EstimateLifetime)
 }
 
-// routeEstimate returns the estimate of a route. Routes beyond maxRouteEstimates share that of the empty name.
-func (q *Queue) routeEstimate(route string) *estimate {
-	known, ok := q.routes[route]
+// routeServiceTime returns the estimate of a route. Routes beyond maxRouteEstimates share that of the empty name.
+func (q *Queue) routeServiceTime(route string) *estimate {
+	known, ok := q.routeServiceTimes[route]
 	if ok {
 		return known
 	}
-	if len(q.routes) >= maxRouteEstimates && route != "" {
-		return q.routeEstimate("")
+	if len(q.routeServiceTimes) >= maxRouteEstimates && route != "" {
+		return q.routeServiceTime("")
 	}
 	known = &estimate{}
-	q.routes[route] = known
+	q.routeServiceTimes[route] = known
 	return known
 }
 
@@ -274,41 +274,41 @@
 // is served first, so those of its own class are not ahead.
 func (q *Queue) expectedWait(c *call, now time.Time) time.Duration {
 	ahead := 1
-	for i := range c.class {
-		ahead += len(q.classes[i].byDeadline)
+	for i := range c.rank {
+		ahead += len(q.ranks[i].byDeadline)
 	}
-	if !q.class(c).overloaded(now) {
-		ahead += q.class(c).ahead(c, now, q.need)
+	if !q.rankQueue(c).overloaded(now) {
+		ahead += q.rankQueue(c).countAhead(c, now, q.expectedService)
 	}
-	return time.Duration(ahead) * q.total.mean / time.Duration(q.config.Slots)
+	return time.Duration(ahead) * q.serviceTime.mean / time.Duration(q.config.Slots)
 }
 
-// wouldMissTarget reports whether a call is late because of its wait. A call that is too long for its target in any case
+// waitMissesTarget reports whether a call is late because of its wait. A call that is too long for its target in any case
 // is judged by its deadline only.
-func (q *Queue) wouldMissTarget(c *call, now time.Time) bool {
+func (q *Queue) waitMissesTarget(c *call, now time.Time) bool {
 	if c.target.IsZero() {
 		return false
 	}
-	left := c.target.Sub(now) - q.need(c, now)
+	left := c.target.Sub(now) - q.expectedService(c, now)
 	return left > 0 && float64(q.expectedWait(c, now)) > targetWaitShare*float64(left)
 }
 
 // mayStart reports whether a new call may start without waiting.
 func (q *Queue) mayStart(c *call) bool {
-	if q.reserved != nil {
+	if q.reservedFor != nil {
 		return false
 	}
-	if c.alone {
+	if c.exclusive {
 		return len(q.running) == 0
 	}
 	return len(q.running) < q.config.Slots
 }
 
-// makeRoom reports whether the queue of the call's class has a free place. Under overload the oldest call gives way.
+// makeQueueRoom reports whether the queue of the call's class has a free place. Under overload the oldest call gives way.
 // Isolated calls get only their share of the places: they leave slowly and would otherwise fill the queue.
-func (q *Queue) makeRoom(c *call, now time.Time) bool {
-	class := q.class(c)
-	if c.alone && class.alone.Len() >= max(1, int(float64(q.config.QueueLimit)*q.config.AloneShare)) {
+func (q *Queue) makeQueueRoom(c *call, now time.Time) bool {
+	class := q.rankQueue(c)
+	if c.exclusive && class.exclusive.Len() >= max(1, int(float64(q.config.QueueLimit)*q.config.ExclusiveShare)) {
 		return false
 	}
 	if len(class.byDeadline) < q.config.QueueLimit {
@@ -323,13 +323,13 @@
 
 func (q *Queue) enqueue(c *call) {
 	q.waiting[c.id] = c
-	q.class(c).push(c)
+	q.rankQueue(c).push(c)
 }
 
 func (q *Queue) remove(c *call, now time.Time) {
 	delete(q.waiting, c.id)
-	q.class(c).remove(c)
-	if q.reserved == c {
+	q.rankQueue(c).remove(c)
+	if q.reservedFor == c {
 		q.endReservation(now)
 	}
 }
@@ -341,15 +341,15 @@
 
 func (q *Queue) start(c *call, now time.Time) {
 	q.running[c.id] = c
-	q.class(c).started++
-	if c.alone && q.reserved == nil {
-		q.reserved, q.since = c, now
+	q.rankQueue(c).started++
+	if c.exclusive && q.reservedFor == nil {
+		q.reservedFor, q.reservedAt = c, now
 	}
 }
 
 func (q *Queue) stop(c *call, now time.Time) {
 	delete(q.running, c.id)
-	if q.reserved == c {
+	if q.reservedFor == c {
 		q.endReservation(now)
 	}
 }
@@ -357,32 +357,32 @@
 // dispatch sheds calls that can no longer finish in time, starts calls while slots are free, and returns all pending
 // decisions.
 func (q *Queue) dispatch(now time.Time) []Decision {
-	q.seen = now
-	q.shedLate(now)
+	q.lastInput = now
+	q.shedHopeless(now)
 	for {
 		q.reserve(now)
 		c := q.next(now)
 		if c == nil {
 			break
 		}
-		reserved := q.reserved
-		q.reserved = nil // the reservation passes from the waiting call to the running one
+		reserved := q.reservedFor
+		q.reservedFor = nil // the reservation passes from the waiting call to the running one
 		q.remove(c, now)
-		q.reserved = reserved
+		q.reservedFor = reserved
 		q.start(c, now)
-		q.pending = append(q.pending, Decision{ID: c.id, Verdict: run})
+		q.pending = append(q.pending, Decision{ID: c.id, Verdict: verdictRun})
 	}
 	decisions := q.pending
 	q.pending = nil
 	return decisions
 }
 
-func (q *Queue) shedLate(now time.Time) {
-	for i := range q.classes {
-		class := &q.classes[i]
+func (q *Queue) shedHopeless(now time.Time) {
+	for i := range q.ranks {
+		class := &q.ranks[i]
 		for len(class.byDeadline) > 0 {
 			first := class.byDeadline[0]
-			if first.remaining(now) > q.need(first, now) {
+			if first.remaining(now) > q.expectedService(first, now) {
 				break
 			}
 			q.evict(first, ReasonDeadline, now)
@@ -392,17 +392,17 @@
 
 // next returns the call that starts now, or nil.
 func (q *Queue) next(now time.Time) *call {
-	if q.reserved != nil {
-		if _, waits := q.waiting[q.reserved.id]; waits && len(q.running) == 0 {
-			return q.reserved
+	if q.reservedFor != nil {
+		if _, waits := q.waiting[q.reservedFor.id]; waits && len(q.running) == 0 {
+			return q.reservedFor
 		}
 		return nil
 	}
 	if len(q.running) >= q.config.Slots {
 		return nil
 	}
-	for i := range q.classes {
-		if c := q.classes[i].next(now, q.need); c != nil {
+	for i := range q.ranks {
+		if c := q.ranks[i].next(now, q.expectedService); c != nil {
 			return c
 		}
 	}
@@ -412,14 +412,14 @@
 // reserve empties the slots for the first call that must run alone, if its class is served next and the share of time
 // allows it.
 func (q *Queue) reserve(now time.Time) {
-	if q.reserved != nil {
+	if q.reservedFor != nil {
 		return
 	}
-	due := !now.Before(q.notBefore)
-	for i := range q.classes {
-		class := &q.classes[i]
-		if class.alone.Len() > 0 && (due || q.idle()) {
-			q.reserved, q.since = class.alone.Front().Value.(*call), now
+	due := !now.Before(q.nextReservation)
+	for i := range q.ranks {
+		class := &q.ranks[i]
+		if class.exclusive.Len() > 0 && (due || q.nothingElse()) {
+			q.reservedFor, q.reservedAt = class.exclusive.Front().Value.(*call), now
 			return
 		}
 		if class.ordinary.Len() > 0 {
@@ -428,19 +428,19 @@
 	}
 }
 
-// idle reports whether an isolated call would keep no other call from running.
-func (q *Queue) idle() bool {
-	for i := range q.classes {
-		if q.classes[i].ordinary.Len() > 0 {
+// nothingElse reports whether an isolated call would keep no other call from running.
+func (q *Queue) nothingElse() bool {
+	for i := range q.ranks {
+		if q.ranks[i].ordinary.Len() > 0 {
 			return false
 		}
 	}
 	return len(q.running) == 0
 }
 
-func (q *Queue) hasAlone() bool {
-	for i := range q.classes {
-		if q.classes[i].alone.Len() > 0 {
+func (q *Queue) exclusiveWaits() bool {
+	for i := range q.ranks {
+		if q.ranks[i].exclusive.Len() > 0 {
 			return true
 		}
 	}
@@ -449,9 +449,9 @@
 
 // endReservation delays the next reservation, so that reservations take at most their share of the time.
 func (q *Queue) endReservation(now time.Time) {
-	used := now.Sub(q.since)
-	q.reserved = nil
+	used := now.Sub(q.reservedAt)
+	q.reservedFor = nil
 	if used > 0 {
-		q.notBefore = now.Add(time.Duration(float64(used) * (1/q.config.AloneShare - 1)))
+		q.nextReservation = now.Add(time.Duration(float64(used) * (1/q.config.ExclusiveShare - 1)))
 	}
 }
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -39,7 +39,7 @@
 
 func alone(id uint64) admission.Ticket {
 	t := ticket(id, bundle.ClassLookup, 60_000)
-	t.Alone = true
+	t.Exclusive = true
 	return t
 }
 
@@ -212,7 +212,7 @@
 					class := rapid.SampledFrom([]bundle.Class{"irreversible", "lookup", "report"}).Draw(t, "class")
 					remaining := time.Duration(rapid.IntRange(0, 300).Draw(t, "deadline")) * time.Millisecond
 					tickets[id] = admission.Ticket{
-						ID: id, Class: class, Deadline: now.Add(remaining), Alone: rapid.IntRange(0, 4).Draw(t, "alone") == 0,
+						ID: id, Class: class, Deadline: now.Add(remaining), Exclusive: rapid.IntRange(0, 4).Draw(t, "alone") == 0,
 					}
 					settle(id, q.Offer(now, tickets[id]))
 				case 3, 4:
@@ -232,7 +232,7 @@
 				running, isolated, waiting := 0, 0, 0
 				for id, action := range state {
 					switch {
-					case action == admission.Run && tickets[id].Alone:
+					case action == admission.Run && tickets[id].Exclusive:
 						isolated++
 						running++
 					case action == admission.Run:
--- a/coordination/admission/class.go
+++ b/coordination/admission/class.go
@@ -8,13 +8,13 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// classCount is the number of ranks.
-const classCount = bundle.MaxPriority
+// rankCount is the number of ranks.
+const rankCount = bundle.MaxPriority
 
 // rankOf returns the rank of a call: lower ranks are served first. Unknown classes are served last of the classes.
 func rankOf(t Ticket) int {
 	if t.Priority > 0 {
-		return min(t.Priority, classCount) - 1
+		return min(t.Priority, rankCount) - 1
 	}
 	switch t.Class {
 	case bundle.ClassIrreversible:
@@ -28,24 +28,24 @@
 
 // call is one waiting or running call.
 type call struct {
-	id       uint64
-	class    int
-	route    string
-	alone    bool
-	arrived  time.Time
-	deadline time.Time
-	target   time.Time
-	order    time.Time // place among calls with a target
-	element  *list.Element
-	index    int // position in byDeadline
+	id        uint64
+	rank      int
+	route     string
+	exclusive bool
+	arrived   time.Time
+	deadline  time.Time
+	target    time.Time
+	sortTime  time.Time // place among calls with a target
+	element   *list.Element
+	index     int // position in byDeadline
 }
 
 // noDeadline stands in for a missing deadline.
 const noDeadline = 24 * time.Hour
 
 func newCall(t Ticket, now time.Time) *call {
-	c := &call{id: t.ID, class: rankOf(t), route: t.Route, alone: t.Alone, arrived: now, deadline: t.Deadline,
-		target: t.Target}
+	c := &call{id: t.ID, rank: rankOf(t), route: t.Route, exclusive: t.Exclusive, arrived: now, deadline: t.Deadline,
+		target: t.TargetTime}
 	if c.deadline.IsZero() {
 		c.deadline = now.Add(noDeadline)
 	}
@@ -57,27 +57,27 @@
 // overloadRatio is the ratio of waiting time to remaining time from which the newest call is served first.
 const overloadRatio = 2
 
-// class holds the waiting calls of one class.
-type class struct {
-	ordinary   list.List // in order of arrival, short calls with a target before long ones
-	alone      list.List // in order of arrival
-	byDeadline deadlineHeap
-	service    estimate
-	started    uint64
-	shed       [reasonCount]uint64
+// rankQueue holds the waiting calls of one rank.
+type rankQueue struct {
+	ordinary    list.List // in order of arrival, short calls with a target before long ones
+	exclusive   list.List // in order of arrival
+	byDeadline  deadlineHeap
+	serviceTime estimate
+	started     uint64
+	shed        [reasonCount]uint64
 }
 
-func (q *class) listOf(c *call) *list.List {
-	if c.alone {
-		return &q.alone
+func (q *rankQueue) listFor(c *call) *list.List {
+	if c.exclusive {
+		return &q.exclusive
 	}
 	return &q.ordinary
 }
 
-func (q *class) push(c *call) {
-	waiting := q.listOf(c)
+func (q *rankQueue) push(c *call) {
+	waiting := q.listFor(c)
 	after := waiting.Back()
-	for after != nil && c.before(after.Value.(*call)) {
+	for after != nil && c.overtakes(after.Value.(*call)) {
 		after = after.Prev()
 	}
 	if after == nil {
@@ -88,28 +88,28 @@
 	heap.Push(&q.byDeadline, c)
 }
 
-// before reports whether a call is served before another one of its class that came earlier. Of calls with a target, short
+// overtakes reports whether a call is served before another one of its class that came earlier. Of calls with a target, short
 // ones may overtake long ones: they take little from those, and often a call on another upstream waits for them.
-func (c *call) before(other *call) bool {
-	return !c.target.IsZero() && !other.target.IsZero() && c.order.Before(other.order)
+func (c *call) overtakes(other *call) bool {
+	return !c.target.IsZero() && !other.target.IsZero() && c.sortTime.Before(other.sortTime)
 }
 
-// shortFirst is how many of its own service times a call lets shorter ones pass. The bound keeps long calls from waiting
+// overtakeServiceTimes is how many of its own service times a call lets shorter ones pass. The bound keeps long calls from waiting
 // for ever: a call of 120 ms is overtaken by one of 20 ms that comes up to 400 ms later.
-const shortFirst = 4
+const overtakeServiceTimes = 4
 
-func (q *class) remove(c *call) {
-	q.listOf(c).Remove(c.element)
+func (q *rankQueue) remove(c *call) {
+	q.listFor(c).Remove(c.element)
 	heap.Remove(&q.byDeadline, c.index)
 }
 
-// ahead returns the number of waiting calls that are served before a new one. Calls that can no longer be in time let it
+// countAhead returns the number of waiting calls that are served before a new one. Calls that can no longer be in time let it
 // pass.
-func (q *class) ahead(c *call, now time.Time, need func(*call, time.Time) time.Duration) int {
-	count := q.alone.Len()
+func (q *rankQueue) countAhead(c *call, now time.Time, need func(*call, time.Time) time.Duration) int {
+	count := q.exclusive.Len()
 	for e := q.ordinary.Front(); e != nil; e = e.Next() {
 		other := e.Value.(*call)
-		if c.before(other) {
+		if c.overtakes(other) {
 			break
 		}
 		if c.target.IsZero() || other.inTime(now, need) {
@@ -125,12 +125,12 @@
 }
 
 // oldest returns the ordinary call that has waited longest. The queue must hold one.
-func (q *class) oldest() *call { return q.ordinary.Front().Value.(*call) }
+func (q *rankQueue) oldest() *call { return q.ordinary.Front().Value.(*call) }
 
 // overloaded reports whether the oldest ordinary call has used up two thirds of its time by waiting. Serving in order
 // of arrival would then bring every call close to its deadline. A lower threshold sheds lookups that FIFO would still
 // serve in time; never leaving FIFO wastes slots on calls that finish late (docs/traffic.md has the figures).
-func (q *class) overloaded(now time.Time) bool {
+func (q *rankQueue) overloaded(now time.Time) bool {
 	front := q.ordinary.Front()
 	if front == nil {
 		return false
@@ -142,7 +142,7 @@
 
 // next returns the ordinary call that is served next, or nil: the newest under overload, otherwise the first that is
 // still in time, otherwise the first. need is the time that a call is expected to run.
-func (q *class) next(now time.Time, need func(*call, time.Time) time.Duration) *call {
+func (q *rankQueue) next(now time.Time, need func(*call, time.Time) time.Duration) *call {
 	element := q.ordinary.Front()
 	for e := element; e != nil; e = e.Next() {
 		if e.Value.(*call).inTime(now, need) {
@@ -192,19 +192,19 @@
 	updated time.Time
 }
 
-// meanWeight divides the difference that one sample makes.
-const meanWeight = 8
+// sampleDivisor divides the difference that one sample makes.
+const sampleDivisor = 8
 
 func (e *estimate) add(now time.Time, sample time.Duration) {
 	if e.updated.IsZero() {
 		e.mean = sample
 	}
-	e.mean += (sample - e.mean) / meanWeight
+	e.mean += (sample - e.mean) / sampleDivisor
 	e.updated = now
 }
 
-// at returns the mean, or 0 if no call has finished for the lifetime.
-func (e *estimate) at(now time.Time, lifetime time.Duration) time.Duration {
+// current returns the mean, or 0 if no call has finished for the lifetime.
+func (e *estimate) current(now time.Time, lifetime time.Duration) time.Duration {
 	if e.updated.IsZero() || now.Sub(e.updated) >= lifetime {
 		return 0
 	}
--- a/coordination/admission/status.go
+++ b/coordination/admission/status.go
@@ -8,12 +8,12 @@
 
 // ClassStatus describes one class, for metrics and the state dump. Started and Shed count since the queue was made.
 type ClassStatus struct {
-	Class   bundle.Class
-	Waiting int
-	Alone   int // of those waiting
-	Service time.Duration
-	Started uint64
-	Shed    map[Reason]uint64
+	Class     bundle.Class
+	Waiting   int
+	Exclusive int // of those waiting
+	Service   time.Duration
+	Started   uint64
+	Shed      map[Reason]uint64
 }
 
 // Status describes a queue.
@@ -32,10 +32,10 @@
 		Slots:    q.config.Slots,
 		Running:  len(q.running),
 		Draining: q.draining,
-		Reserved: q.reserved != nil,
+		Reserved: q.reservedFor != nil,
 	}
 	for i, name := range []bundle.Class{bundle.ClassIrreversible, bundle.ClassLookup, bundle.ClassReport} {
-		class := &q.classes[i]
+		class := &q.ranks[i]
 		shed := make(map[Reason]uint64)
 		for reason, count := range class.shed {
 			if count > 0 {
@@ -43,12 +43,12 @@
 			}
 		}
 		status.Classes = append(status.Classes, ClassStatus{
-			Class:   name,
-			Waiting: len(class.byDeadline),
-			Alone:   class.alone.Len(),
-			Service: class.service.mean,
-			Started: class.started,
-			Shed:    shed,
+			Class:     name,
+			Waiting:   len(class.byDeadline),
+			Exclusive: class.exclusive.Len(),
+			Service:   class.serviceTime.mean,
+			Started:   class.started,
+			Shed:      shed,
 		})
 	}
 	return status
--- a/coordination/admission/target_test.go
+++ b/coordination/admission/target_test.go
@@ -53,7 +53,7 @@
 				next++
 				ticket := admission.Ticket{ID: next, Class: bundle.ClassLookup, Route: "rank", Deadline: now.Add(2 * time.Second)}
 				if aimed {
-					ticket.Target = now.Add(target)
+					ticket.TargetTime = now.Add(target)
 				}
 				arrived[next] = now
 				if q.Offer(now, ticket).Action == admission.Run {
@@ -114,7 +114,7 @@
 				routes[next] = route
 				offered[route]++
 				ticket := admission.Ticket{
-					ID: next, Class: bundle.ClassLookup, Route: route, Deadline: now.Add(time.Second), Target: now.Add(targets[route]),
+					ID: next, Class: bundle.ClassLookup, Route: route, Deadline: now.Add(time.Second), TargetTime: now.Add(targets[route]),
 				}
 				if q.Offer(now, ticket).Action == admission.Run {
 					begin(next)
@@ -136,7 +136,7 @@
 		now = now.Add(450 * time.Millisecond)
 		q.Finish(now, 1, 450*time.Millisecond)
 		for id := uint64(2); id < 5; id++ {
-			ticket.ID, ticket.Target = id, now.Add(target)
+			ticket.ID, ticket.TargetTime = id, now.Add(target)
 			Expect(q.Offer(now, ticket).Action).NotTo(Equal(admission.Shed))
 		}
 	})
--- a/node/executor.go
+++ b/node/executor.go
@@ -93,10 +93,10 @@
 	id := e.nextID
 	call := &runningCall{fingerprint: fingerprint, alone: head.Exclusive || verdict == quarantine.Alone}
 	ticket := admission.Ticket{
-		ID: id, Class: head.Class, Priority: head.Priority, Route: head.Route, Deadline: deadline, Alone: call.alone,
+		ID: id, Class: head.Class, Priority: head.Priority, Route: head.Route, Deadline: deadline, Exclusive: call.alone,
 	}
 	if head.Patience > 0 {
-		ticket.Target = now.Add(head.Patience)
+		ticket.TargetTime = now.Add(head.Patience)
 	}
 	admitted := e.queue.Offer(now, ticket)
 	e.running[id] = call
