--- a/coordination/balance/balance.go
+++ b/coordination/balance/balance.go
@@ -40,9 +40,9 @@
 	Address     string
 	State       State
 	Slots       int
-	// Since is the local time at which this incarnation began to serve. Slow start counts from it; the zero value
+	// ServingSince is the local time at which this incarnation began to serve. Slow start counts from it; the zero value
 	// switches slow start off for the endpoint.
-	Since time.Time
+	ServingSince time.Time
 }
 
 // Policy selects how an upstream is chosen among the candidates.
@@ -120,13 +120,13 @@
 	Zone  bundle.ZonePolicy
 	// Exclude lists the identifiers of upstreams that were already tried. They are avoided while others exist.
 	Exclude []string
-	// Patience is the time within which an answer has its full value; 0 if that is not known. A call stays in its zone
+	// TargetRemaining is the time within which an answer has its full value; 0 if that is not known. A call stays in its zone
 	// as long as the upstreams there are expected to answer well within it: links between zones are slow and costly, and
 	// spreading an overload over all zones serves nobody sooner.
-	Patience time.Duration
-	// InTimeOnly asks for an upstream that is expected to answer within the patience, or none. It is set for calls that an
+	TargetRemaining time.Duration
+	// MeetTargetOnly asks for an upstream that is expected to meet the target, or none. It is set for calls that an
 	// upstream has refused for lack of slots: under overload, every other attempt would be refused too.
-	InTimeOnly bool
+	MeetTargetOnly bool
 	// Rand must not be shared between goroutines unless it is safe for that.
 	Rand rand.Source
 }
@@ -147,14 +147,14 @@
 
 // The outcomes of a call.
 const (
-	// Done is a complete response.
-	Done Outcome = iota
+	// Completed is a complete response.
+	Completed Outcome = iota
 	// Refused means that the executor or the upstream refused the call without running it.
 	Refused
 	// Failed means that the call failed after the connection was made, or timed out.
 	Failed
-	// Faulty means that the upstream refused the call itself, or answered that it failed.
-	Faulty
+	// ErrorResponse means that the upstream refused the call itself, or answered that it failed.
+	ErrorResponse
 	// ConnectFailed means that no connection could be made or that it broke. The endpoint is ejected for a while.
 	ConnectFailed
 	// Canceled means that the caller left; it says nothing about the upstream.
@@ -167,8 +167,8 @@
 	// Latency is measured at the ingress, from sending the call to receiving the response.
 	Latency time.Duration
 	// Route and Service are the call's route and the time that the upstream itself took, if they are known.
-	Route   string
-	Service time.Duration
+	Route       string
+	ServiceTime time.Duration
 	// Load is the executor's first-hand load. It takes precedence over UpstreamLoad.
 	Load *Load
 	// UpstreamLoad is the load that the upstream reports about itself. It may lag or be wrong.
--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -184,7 +184,7 @@
 
 	It("raises the share of a new upstream over the slow start", func() {
 		table := endpointsIn("a", 10)
-		table[0].Since = start
+		table[0].ServingSince = start
 		h := newHarness(balance.RoundRobin, table)
 		early := h.counts(1000, fine)["a-0"]
 		h.now = start.Add(balance.DefaultSlowStart)
--- a/coordination/balance/endpoint.go
+++ b/coordination/balance/endpoint.go
@@ -98,8 +98,8 @@
 
 func newEndpoint(epoch time.Time, e Endpoint, a *averages) *endpoint {
 	result := &endpoint{Endpoint: e, epoch: epoch, averages: a}
-	if !e.Since.IsZero() {
-		result.since = e.Since.Sub(epoch)
+	if !e.ServingSince.IsZero() {
+		result.since = e.ServingSince.Sub(epoch)
 	}
 	return result
 }
@@ -122,7 +122,7 @@
 
 // share returns the part of its full share of calls that a new endpoint receives.
 func (e *endpoint) share(at, slowStart time.Duration) float64 {
-	if slowStart <= 0 || e.Since.IsZero() || at >= e.since+slowStart {
+	if slowStart <= 0 || e.ServingSince.IsZero() || at >= e.since+slowStart {
 		return 1
 	}
 	return max(minSlowStartShare, float64(at-e.since)/float64(slowStart))
@@ -206,9 +206,9 @@
 func (e *endpoint) observe(c *Config, at time.Duration, r Report) {
 	e.observeLoad(c, at, r)
 	switch r.Outcome {
-	case Done:
+	case Completed:
 		e.failures.Store(0)
-		e.averages.observeRoute(r.Route, r.Service)
+		e.averages.observeRoute(r.Route, r.ServiceTime)
 		e.observeFault(at, false)
 		e.observeLatency(at, e.serviceTime(r))
 	case Refused:
@@ -217,7 +217,7 @@
 			e.others.Store(e.slots.Load() * milli)
 			e.reportedAt.Store(stamp(at))
 		}
-	case Faulty:
+	case ErrorResponse:
 		e.failures.Store(0)
 		e.observeFault(at, true)
 	case Failed:
--- a/coordination/balance/pick.go
+++ b/coordination/balance/pick.go
@@ -46,7 +46,7 @@
 }
 
 func (p *picker) pick() *endpoint {
-	if p.request.InTimeOnly && p.request.Patience > 0 {
+	if p.request.MeetTargetOnly && p.request.TargetRemaining > 0 {
 		p.level = onlyHealthy
 		chosen := p.better(p.pickServing(), p.pickServing())
 		if chosen == nil || !p.satisfies(chosen) {
@@ -112,7 +112,7 @@
 		return local
 	}
 	remote := p.best(p.remoteZone())
-	if p.request.Patience == 0 || local == nil || remote == nil {
+	if p.request.TargetRemaining == 0 || local == nil || remote == nil {
 		return p.better(local, remote)
 	}
 	sooner := p.completion(remote) < spillGain*p.completion(local)
@@ -128,13 +128,13 @@
 
 // satisfies reports whether a call need not leave the zone of a local upstream.
 func (p *picker) satisfies(e *endpoint) bool {
-	if p.request.Patience == 0 {
+	if p.request.TargetRemaining == 0 {
 		return e.load(p.config, p.at) <= p.config.SpillLoad
 	}
 	if e.faultRate(p.config, p.at) > float64(e.averages.faults.Load())/milli+maxFaultExcess {
 		return false
 	}
-	return p.completion(e) <= spillPatience*float64(p.request.Patience)
+	return p.completion(e) <= spillPatience*float64(p.request.TargetRemaining)
 }
 
 // remoteZone draws another zone by weight. It returns nil if there is none.
--- a/coordination/balance/zone_test.go
+++ b/coordination/balance/zone_test.go
@@ -16,13 +16,13 @@
 	// answer ends a call with the executor's report of its load.
 	answer := func(h *harness, target balance.Target, route string, service, mean time.Duration, waiting int) {
 		h.Done(h.now, target, balance.Report{
-			Outcome: balance.Done, Latency: service, Route: route, Service: service,
+			Outcome: balance.Completed, Latency: service, Route: route, ServiceTime: service,
 			Load: &balance.Load{InFlight: 10, Queued: waiting, Slots: 10, LatencyMicros: mean.Microseconds()},
 		})
 	}
 	// zonesOf counts the zones of picks of a route.
 	zonesOf := func(h *harness, route string, patience time.Duration) map[string]int {
-		h.request.Route, h.request.Patience = route, patience
+		h.request.Route, h.request.TargetRemaining = route, patience
 		zones := make(map[string]int)
 		for range 100 {
 			target := h.pick()
@@ -58,7 +58,7 @@
 	It("sends calls elsewhere that would be late at home", func() {
 		h := newZones()
 		var held []balance.Target
-		h.request.Patience = time.Hour
+		h.request.TargetRemaining = time.Hour
 		for range 60 {
 			held = append(held, h.pick())
 		}
@@ -80,7 +80,7 @@
 		for _, target := range held[:40] {
 			answer(h, target, "lookup", 300*time.Millisecond, 300*time.Millisecond, 100)
 		}
-		h.request.Route, h.request.Patience, h.request.InTimeOnly = "lookup", patience, true
+		h.request.Route, h.request.TargetRemaining, h.request.MeetTargetOnly = "lookup", patience, true
 		_, err := h.Pick(h.now, h.request)
 		Expect(err).To(MatchError(balance.ErrNoUpstream))
 	})
@@ -92,9 +92,9 @@
 		for i := range 400 {
 			target := h.pick()
 			counts[target.ID]++
-			outcome := balance.Done
+			outcome := balance.Completed
 			if target.ID == "a-0" && i%2 == 0 {
-				outcome = balance.Faulty
+				outcome = balance.ErrorResponse
 			}
 			h.Done(h.now, target, balance.Report{Outcome: outcome, Latency: 100 * time.Millisecond})
 			h.now = h.now.Add(10 * time.Millisecond)
--- a/node/control.go
+++ b/node/control.go
@@ -171,7 +171,7 @@
 		n.seen[record.ID] = seen
 		table = append(table, balance.Endpoint{
 			ID: record.ID, Incarnation: record.Incarnation, Zone: record.Zone, Service: record.Service,
-			Address: record.Address, State: balanceStates[record.State], Slots: record.Slots, Since: seen.since,
+			Address: record.Address, State: balanceStates[record.State], Slots: record.Slots, ServingSince: seen.since,
 		})
 	}
 	return table
--- a/node/executor.go
+++ b/node/executor.go
@@ -95,8 +95,8 @@
 	ticket := admission.Ticket{
 		ID: id, Class: head.Class, Priority: head.Priority, Route: head.Route, Deadline: deadline, Exclusive: call.alone,
 	}
-	if head.Patience > 0 {
-		ticket.TargetTime = now.Add(head.Patience)
+	if head.TargetRemaining > 0 {
+		ticket.TargetTime = now.Add(head.TargetRemaining)
 	}
 	admitted := e.queue.Offer(now, ticket)
 	e.running[id] = call
--- a/node/forwarding.go
+++ b/node/forwarding.go
@@ -116,8 +116,8 @@
 func (f *forwarding) begin(ctx context.Context) (*attempt, bool) {
 	c := f.call
 	target, err := c.node.balancer.Pick(time.Now(), balance.Request{
-		Service: c.head.Service, Route: c.route.Name, Zone: c.route.Zone, Exclude: f.tried, Rand: f.source, Patience: c.patience(),
-		InTimeOnly: f.last == protocol.ReasonShed,
+		Service: c.head.Service, Route: c.route.Name, Zone: c.route.Zone, Exclude: f.tried, Rand: f.source, TargetRemaining: c.patience(),
+		MeetTargetOnly: f.last == protocol.ReasonShed,
 	})
 	if err != nil {
 		f.last = cmp.Or(f.last, protocol.ReasonNoUpstream)
--- a/node/ingress.go
+++ b/node/ingress.go
@@ -274,7 +274,7 @@
 	head := c.head
 	// The answer needs the way back: one that ends later is of no use.
 	head.Remaining = c.deadline.Sub(now) - c.node.options.zoneDelay(target.Zone)
-	head.Patience = c.patience()
+	head.TargetRemaining = c.patience()
 	head.Incarnation = target.Incarnation
 	head.Exclusive = c.alone
 	head.Retry = c.head.Retry || retried
@@ -301,7 +301,7 @@
 
 func (c *ingressCall) report(ctx context.Context, answer *reply, took time.Duration) balance.Report {
 	report := balance.Report{
-		Outcome: balance.Done, Latency: took, Route: c.route.Name, Service: answer.head.Upstream,
+		Outcome: balance.Completed, Latency: took, Route: c.route.Name, ServiceTime: answer.head.Upstream,
 	}
 	if load := answer.head.Load; load.Slots > 0 {
 		reported := balanceLoad(load)
@@ -314,7 +314,7 @@
 	case answer.head.Reason == protocol.ReasonNodeFailed, answer.head.Reason == protocol.ReasonUnreachable:
 		report.Outcome = balance.ConnectFailed
 	case answer.head.Reason == protocol.ReasonUpstreamRefused, answer.failedByUpstream():
-		report.Outcome = balance.Faulty
+		report.Outcome = balance.ErrorResponse
 	case answer.head.Outcome == protocol.OutcomeNotRun:
 		report.Outcome = balance.Refused
 	case answer.head.Outcome == protocol.OutcomeUnknown:
--- a/node/requestlog.go
+++ b/node/requestlog.go
@@ -152,7 +152,7 @@
 		Str("outcome", string(answer.head.Outcome)).Str("reason", string(answer.head.Reason)).
 		Int("upstream_status", answer.head.Status).Int64("waited_ms", waited.Milliseconds()).
 		Int64("upstream_ms", answer.head.Upstream.Milliseconds()).Int64("given_ms", head.Remaining.Milliseconds()).
-		Int64("patience_ms", head.Patience.Milliseconds()).Int("priority", head.Priority).Uint64("version", head.Version).
+		Int64("patience_ms", head.TargetRemaining.Milliseconds()).Int("priority", head.Priority).Uint64("version", head.Version).
 		Int("slots", load.Slots).Int("running", load.InFlight).Int("waiting", load.Queued).
 		Msg(message)
 }
--- a/protocol/call.go
+++ b/protocol/call.go
@@ -41,8 +41,8 @@
 	Priority int `cbor:"20,keyasint,omitempty"`
 	// RequestID is the caller's name for the request, which the executor sets under its dialect's header name.
 	RequestID string `cbor:"23,keyasint,omitempty"`
-	// Patience is the time within which an answer has its full value; 0 if that is not known.
-	Patience time.Duration `cbor:"22,keyasint,omitempty"`
+	// TargetRemaining is the time within which an answer has its full value; 0 if that is not known.
+	TargetRemaining time.Duration `cbor:"22,keyasint,omitempty"`
 	// Progress asks the executor for a sign that it has the call, which a hedge waits for.
 	Progress bool `cbor:"21,keyasint,omitempty"`
 }
