--- a/node/requestlog.go
+++ b/node/requestlog.go
@@ -134,7 +134,7 @@
 }
 
 // call reports the end of a call at the node beside the upstream. waited is the time until it had a slot or was refused.
-func (l *requestLog) call(head *protocol.CallHead, answer *reply, waited time.Duration) {
+func (l *requestLog) call(head *protocol.CallMetadata, answer *reply, waited time.Duration) {
 	failed := answer.head.Outcome != protocol.OutcomeDone || answer.failedByUpstream()
 	event := l.about(requestID(head), failed)
 	if event == nil {
@@ -152,10 +152,10 @@
 		Str("outcome", string(answer.head.Outcome)).Str("reason", string(answer.head.Reason)).
 		Int("upstream_status", answer.head.Status).Int64("waited_ms", waited.Milliseconds()).
 		Int64("upstream_ms", answer.head.Upstream.Milliseconds()).Int64("given_ms", head.Remaining.Milliseconds()).
-		Int64("patience_ms", head.Patience.Milliseconds()).Int("priority", head.Priority).Uint64("version", head.Version).
+		Int64("patience_ms", head.TargetRemaining.Milliseconds()).Int("priority", head.Priority).Uint64("version", head.Version).
 		Int("slots", load.Slots).Int("running", load.InFlight).Int("waiting", load.Queued).
 		Msg(message)
 }
 
 // requestID returns the caller's name for the request, or its idempotency key.
-func requestID(head *protocol.CallHead) string { return cmp.Or(head.RequestID, head.Key) }
+func requestID(head *protocol.CallMetadata) string { return cmp.Or(head.RequestID, head.Key) }
