--- a/coordination/execution/execution.go
+++ b/coordination/execution/execution.go
@@ -1,5 +1,5 @@
 // Package execution is the state machine of one irreversible call at its executor, the node beside the upstream.
-// A Machine is not safe for concurrent use. Each input returns the outputs that the executor must carry out in order.
+// A StateMachine is not safe for concurrent use. Each input returns the outputs that the executor must carry out in order.
 package execution
 
 import (
@@ -136,8 +136,8 @@
 	closed
 )
 
-// Machine is the state of one call.
-type Machine struct {
+// StateMachine is the state of one call.
+type StateMachine struct {
 	config Config
 	state  state
 	// slot is set while the call occupies an admission slot.
@@ -160,10 +160,10 @@
 }
 
 // New returns the machine of a call that waits for admission.
-func New(c Config) *Machine { return &Machine{config: c.withDefaults()} }
+func New(c Config) *StateMachine { return &StateMachine{config: c.withDefaults()} }
 
 // Admitted tells that the call has a slot.
-func (m *Machine) Admitted(now time.Time) []Output {
+func (m *StateMachine) Admitted(now time.Time) []Output {
 	m.slot = true
 	switch {
 	case m.state != waiting:
@@ -176,7 +176,7 @@
 }
 
 // ClaimResult delivers the ledger's answer to the claim.
-func (m *Machine) ClaimResult(now time.Time, r ledger.Result) []Output {
+func (m *StateMachine) ClaimResult(now time.Time, r ledger.Result) []Output {
 	if m.state != claiming {
 		return nil
 	}
@@ -206,7 +206,7 @@
 }
 
 // granted starts the call. A call that was proved not run must not be started, so there is no other way to run it.
-func (m *Machine) granted(now time.Time) []Output {
+func (m *StateMachine) granted(now time.Time) []Output {
 	if !now.Before(m.config.Deadline) {
 		return m.DeadlinePassed(now)
 	}
@@ -215,17 +215,17 @@
 }
 
 // ClaimFailed tells that the claim may or may not have reached the ledger. It is sent again after a while.
-func (m *Machine) ClaimFailed(time.Time) []Output { return nil }
+func (m *StateMachine) ClaimFailed(time.Time) []Output { return nil }
 
 // ClaimRefused tells that the last claim was surely not proposed, for example because no leader is known. It is sent
 // again after a while.
-func (m *Machine) ClaimRefused(time.Time) []Output {
+func (m *StateMachine) ClaimRefused(time.Time) []Output {
 	m.unrefused = max(0, m.unrefused-1)
 	return nil
 }
 
 // QueryResult delivers the ledger's answer to a query.
-func (m *Machine) QueryResult(now time.Time, r ledger.Result) []Output {
+func (m *StateMachine) QueryResult(now time.Time, r ledger.Result) []Output {
 	if m.state != asking {
 		return nil
 	}
@@ -247,14 +247,14 @@
 	}
 }
 
-func (m *Machine) holds(holder ledger.Claim) bool {
+func (m *StateMachine) holds(holder ledger.Claim) bool {
 	own := m.config.Claim
 	return holder.Executor == own.Executor && holder.Incarnation == own.Incarnation && holder.Attempt == own.Attempt
 }
 
 // Written tells that the first byte is about to be written to the upstream. The call must be abandoned with
 // UpstreamFailed, and nothing written, if it returns false.
-func (m *Machine) Written(now time.Time) bool {
+func (m *StateMachine) Written(now time.Time) bool {
 	if m.state != running || !now.Before(m.config.Deadline) {
 		return false
 	}
@@ -263,7 +263,7 @@
 }
 
 // UpstreamAnswer delivers the complete response of the upstream.
-func (m *Machine) UpstreamAnswer(now time.Time, a ledger.Answer) []Output {
+func (m *StateMachine) UpstreamAnswer(now time.Time, a ledger.Answer) []Output {
 	ok := invariant.Check(m.written, invariant.FalseNotRun, "an answer arrived for a call that was not written",
 		map[string]any{"key": m.config.Claim.Key})
 	if !ok || m.state != running {
@@ -279,7 +279,7 @@
 }
 
 // UpstreamRefused tells that the upstream itself says that the call was not run.
-func (m *Machine) UpstreamRefused(now time.Time) []Output {
+func (m *StateMachine) UpstreamRefused(now time.Time) []Output {
 	if m.state != running {
 		return nil
 	}
@@ -289,7 +289,7 @@
 
 // UpstreamFailed tells that the call on the upstream ended without a complete response. If nothing was written, the
 // call was not run; otherwise the claim stays and nothing runs the call again.
-func (m *Machine) UpstreamFailed(now time.Time) []Output {
+func (m *StateMachine) UpstreamFailed(now time.Time) []Output {
 	if m.state != running {
 		return nil
 	}
@@ -301,7 +301,7 @@
 }
 
 // DeadlinePassed tells that the caller's deadline has passed.
-func (m *Machine) DeadlinePassed(now time.Time) []Output {
+func (m *StateMachine) DeadlinePassed(now time.Time) []Output {
 	switch m.state {
 	case waiting:
 		m.void = true
@@ -324,14 +324,14 @@
 
 // CallerGone tells that the caller has left. A call that was not written is abandoned; the answer of one that was
 // written is still recorded.
-func (m *Machine) CallerGone(now time.Time) []Output {
+func (m *StateMachine) CallerGone(now time.Time) []Output {
 	m.answered = true
 	m.held = nil
 	return m.DeadlinePassed(now)
 }
 
 // RecordAck delivers the ledger's answer to a record.
-func (m *Machine) RecordAck(_ time.Time, r ledger.Result) []Output {
+func (m *StateMachine) RecordAck(_ time.Time, r ledger.Result) []Output {
 	if m.state != recording {
 		return nil
 	}
@@ -342,7 +342,7 @@
 }
 
 // ReleaseAck delivers the ledger's answer to a release.
-func (m *Machine) ReleaseAck(time.Time, ledger.Result) []Output {
+func (m *StateMachine) ReleaseAck(time.Time, ledger.Result) []Output {
 	m.void = true
 	if m.state != releasing {
 		return nil
@@ -352,7 +352,7 @@
 }
 
 // Tick sends unanswered messages again and notices the deadline. It must be called at the time that Wake returns.
-func (m *Machine) Tick(now time.Time) []Output {
+func (m *StateMachine) Tick(now time.Time) []Output {
 	var outputs []Output
 	if m.awaitsDeadline() && !now.Before(m.config.Deadline) {
 		outputs = m.DeadlinePassed(now)
@@ -370,7 +370,7 @@
 }
 
 // Wake returns the time of the next Tick. It is false if the machine waits for no time.
-func (m *Machine) Wake() (time.Time, bool) {
+func (m *StateMachine) Wake() (time.Time, bool) {
 	var wake time.Time
 	if m.awaitsDeadline() {
 		wake = m.config.Deadline
@@ -382,4 +382,4 @@
 }
 
 // Closed reports whether the machine needs no further input.
-func (m *Machine) Closed() bool { return m.state == closed }
+func (m *StateMachine) Closed() bool { return m.state == closed }
--- a/coordination/execution/simulation_test.go
+++ b/coordination/execution/simulation_test.go
@@ -45,7 +45,7 @@
 
 // call is one attempt of a caller at a node.
 type call struct {
-	*execution.Machine
+	*execution.StateMachine
 	node        *node
 	incarnation uint64
 	claim       ledger.Claim
@@ -125,7 +125,7 @@
 		Executor: n.id, Incarnation: n.incarnation, Attempt: n.attempts,
 	}}
 	deadline := s.clock(n).Add(200*time.Millisecond + s.random(2*time.Second))
-	c.Machine = execution.New(execution.Config{Claim: c.claim, Deadline: deadline})
+	c.StateMachine = execution.New(execution.Config{Claim: c.claim, Deadline: deadline})
 	s.calls = append(s.calls, c)
 	s.after(s.random(100*time.Millisecond), func() {
 		c.admitted = true
--- a/coordination/execution/machine_test.go
+++ b/coordination/execution/statemachine_test.go
@@ -10,7 +10,7 @@
 	"sapphiregate.example/sapphiregate/state/ledger"
 )
 
-var _ = Describe("Machine", func() {
+var _ = Describe("StateMachine", func() {
 	claim := ledger.Claim{Key: "k", Route: "promote", Executor: "a", Incarnation: 2, Attempt: 7}
 	release := execution.SendRelease{Release: ledger.Release{Key: "k", Executor: "a", Incarnation: 2, Attempt: 7}}
 	query := execution.SendQuery{Query: ledger.Query{Key: "k", Route: "promote"}}
@@ -20,7 +20,7 @@
 	}
 	granted := ledger.Result{Status: ledger.Granted, Holder: claim}
 
-	var m *execution.Machine
+	var m *execution.StateMachine
 	BeforeEach(func() {
 		m = execution.New(execution.Config{Claim: claim, Deadline: at(1000), MaxAnswerBytes: 10})
 		Expect(m.Admitted(at(0))).To(HaveExactElements(execution.SendClaim{Claim: claim}))
--- a/coordination/execution/status.go
+++ b/coordination/execution/status.go
@@ -37,7 +37,7 @@
 }
 
 // State names the phase of the call, for the state dump.
-func (m *Machine) State() string {
+func (m *StateMachine) State() string {
 	switch m.state {
 	case waiting:
 		return "waiting"
--- a/coordination/execution/steps.go
+++ b/coordination/execution/steps.go
@@ -9,7 +9,7 @@
 func notRun(reason Reason) Reply { return Reply{Outcome: OutcomeNotRun, Reason: reason} }
 
 // enter changes the state and starts its timers.
-func (m *Machine) enter(s state, now time.Time) {
+func (m *StateMachine) enter(s state, now time.Time) {
 	m.state = s
 	m.resends = 0
 	m.resendAt = now.Add(m.interval())
@@ -17,7 +17,7 @@
 }
 
 // interval returns the time until the next message to the ledger.
-func (m *Machine) interval() time.Duration {
+func (m *StateMachine) interval() time.Duration {
 	base := m.config.ResendAfter
 	if m.state == asking {
 		base = m.config.QueryInterval
@@ -26,17 +26,17 @@
 }
 
 // awaitsDeadline reports whether the deadline still changes something.
-func (m *Machine) awaitsDeadline() bool {
+func (m *StateMachine) awaitsDeadline() bool {
 	return m.state != closed && (!m.answered || (m.state != recording && m.state != releasing && !m.written))
 }
 
 // awaitsLedger reports whether messages to the ledger must be sent again.
-func (m *Machine) awaitsLedger() bool {
+func (m *StateMachine) awaitsLedger() bool {
 	return m.state == claiming || m.state == recording || m.state == asking || m.state == releasing
 }
 
 // finish replies at once, frees the slot and gives the claim back if it may have been granted or may still be.
-func (m *Machine) finish(now time.Time, r Reply) []Output {
+func (m *StateMachine) finish(now time.Time, r Reply) []Output {
 	outputs := append(m.reply(r), m.freeSlot()...)
 	if m.void || (m.state == claiming && m.unrefused == 0) {
 		m.state = closed
@@ -47,14 +47,14 @@
 }
 
 // hold keeps a reply until the claim is given back.
-func (m *Machine) hold(now time.Time, r Reply) {
+func (m *StateMachine) hold(now time.Time, r Reply) {
 	if !m.answered {
 		m.held = &r
 	}
 	m.enter(releasing, now)
 }
 
-func (m *Machine) replyHeld() []Output {
+func (m *StateMachine) replyHeld() []Output {
 	if m.held == nil {
 		return nil
 	}
@@ -63,7 +63,7 @@
 	return m.reply(r)
 }
 
-func (m *Machine) reply(r Reply) []Output {
+func (m *StateMachine) reply(r Reply) []Output {
 	if m.answered {
 		return nil
 	}
@@ -71,7 +71,7 @@
 	return []Output{r}
 }
 
-func (m *Machine) freeSlot() []Output {
+func (m *StateMachine) freeSlot() []Output {
 	if !m.slot {
 		return nil
 	}
@@ -79,7 +79,7 @@
 	return []Output{FreeSlot{}}
 }
 
-func (m *Machine) resend() []Output {
+func (m *StateMachine) resend() []Output {
 	switch m.state {
 	case claiming:
 		return m.sendClaim()
@@ -97,24 +97,24 @@
 	}
 }
 
-func (m *Machine) sendClaim() []Output {
+func (m *StateMachine) sendClaim() []Output {
 	m.unrefused++
 	return []Output{SendClaim{Claim: m.config.Claim}}
 }
 
-func (m *Machine) sendQuery() Output {
+func (m *StateMachine) sendQuery() Output {
 	c := m.config.Claim
 	return SendQuery{Query: ledger.Query{Key: c.Key, Route: c.Route, RequestDigest: c.RequestDigest}}
 }
 
-func (m *Machine) sendRecord() Output {
+func (m *StateMachine) sendRecord() Output {
 	c := m.config.Claim
 	return SendRecord{Record: ledger.Record{
 		Key: c.Key, Executor: c.Executor, Incarnation: c.Incarnation, Attempt: c.Attempt, Answer: m.record,
 	}}
 }
 
-func (m *Machine) sendRelease() Output {
+func (m *StateMachine) sendRelease() Output {
 	c := m.config.Claim
 	return SendRelease{Release: ledger.Release{
 		Key: c.Key, Executor: c.Executor, Incarnation: c.Incarnation, Attempt: c.Attempt,
--- a/node/once.go
+++ b/node/once.go
@@ -38,7 +38,7 @@
 	head     *protocol.CallHead
 	body     *requestBody
 	deadline time.Time
-	machine  *execution.Machine
+	machine  *execution.StateMachine
 	// events is not buffered: an input that was taken is always handled, so that no slot is lost with it.
 	events   chan onceEvent
 	finished chan struct{}
