--- a/coordination/execution/execution.go
+++ b/coordination/execution/execution.go
@@ -69,7 +69,7 @@
 type Reply struct {
 	Outcome Outcome
 	Reason  Reason
-	Answer  *ledger.Answer
+	Response  *ledger.Answer
 }
 
 // FreeSlot gives the admission slot back. It is returned exactly once for each admitted call.
@@ -93,11 +93,11 @@
 	ResendAfter time.Duration
 	// QueryInterval is the time between queries while another attempt holds the claim. It grows in the same way.
 	QueryInterval time.Duration
-	// ReleaseFor bounds the time for which a release is sent again, so that a long outage of the ledger does not pile
+	// ReleaseTimeout bounds the time for which a release is sent again, so that a long outage of the ledger does not pile
 	// up machines. A claim that is still granted afterwards stays unresolved; nothing runs it.
-	ReleaseFor time.Duration
-	// MaxAnswerBytes bounds the answers that are sent to the ledger in full.
-	MaxAnswerBytes int
+	ReleaseTimeout time.Duration
+	// MaxResponseBytes bounds the answers that are sent to the ledger in full.
+	MaxResponseBytes int
 }
 
 // The defaults of Config.
@@ -106,10 +106,10 @@
 	DefaultResendAfter = 250 * time.Millisecond
 	// DefaultQueryInterval is in the order of a short irreversible call; each query costs a log entry.
 	DefaultQueryInterval = 100 * time.Millisecond
-	// DefaultReleaseFor covers an election of about 1 s many times.
-	DefaultReleaseFor = time.Minute
-	// DefaultMaxAnswerBytes is the limit of the ledger.
-	DefaultMaxAnswerBytes = ledger.DefaultMaxAnswerBytes
+	// DefaultReleaseTimeout covers an election of about 1 s many times.
+	DefaultReleaseTimeout = time.Minute
+	// DefaultMaxResponseBytes is the limit of the ledger.
+	DefaultMaxResponseBytes = ledger.DefaultMaxAnswerBytes
 )
 
 // maxBackoffDoublings bounds the growth of the intervals.
@@ -118,8 +118,8 @@
 func (c Config) withDefaults() Config {
 	c.ResendAfter = cmp.Or(c.ResendAfter, DefaultResendAfter)
 	c.QueryInterval = cmp.Or(c.QueryInterval, DefaultQueryInterval)
-	c.ReleaseFor = cmp.Or(c.ReleaseFor, DefaultReleaseFor)
-	c.MaxAnswerBytes = cmp.Or(c.MaxAnswerBytes, DefaultMaxAnswerBytes)
+	c.ReleaseTimeout = cmp.Or(c.ReleaseTimeout, DefaultReleaseTimeout)
+	c.MaxResponseBytes = cmp.Or(c.MaxResponseBytes, DefaultMaxResponseBytes)
 	return c
 }
 
@@ -188,7 +188,7 @@
 		return append(m.freeSlot(), m.sendRelease(), m.sendQuery())
 	case ledger.Done:
 		m.void = true
-		return m.finish(now, Reply{Outcome: OutcomeDone, Answer: r.Answer})
+		return m.finish(now, Reply{Outcome: OutcomeDone, Response: r.Answer})
 	case ledger.KeyReused:
 		m.void = true
 		return m.finish(now, notRun(ReasonKeyReused))
@@ -232,7 +232,7 @@
 	switch r.Status {
 	case ledger.Done:
 		m.void = true
-		return m.finish(now, Reply{Outcome: OutcomeDone, Answer: r.Answer})
+		return m.finish(now, Reply{Outcome: OutcomeDone, Response: r.Answer})
 	case ledger.Released, ledger.Absent:
 		return m.finish(now, notRun(ReasonReleased))
 	case ledger.Claimed:
@@ -252,9 +252,9 @@
 	return holder.Executor == own.Executor && holder.Incarnation == own.Incarnation && holder.Attempt == own.Attempt
 }
 
-// Written tells that the first byte is about to be written to the upstream. The call must be abandoned with
+// BeginWrite tells that the first byte is about to be written to the upstream. The call must be abandoned with
 // UpstreamFailed, and nothing written, if it returns false.
-func (m *StateMachine) Written(now time.Time) bool {
+func (m *StateMachine) BeginWrite(now time.Time) bool {
 	if m.state != running || !now.Before(m.config.Deadline) {
 		return false
 	}
@@ -262,19 +262,19 @@
 	return true
 }
 
-// UpstreamAnswer delivers the complete response of the upstream.
-func (m *StateMachine) UpstreamAnswer(now time.Time, a ledger.Answer) []Output {
+// UpstreamResponse delivers the complete response of the upstream.
+func (m *StateMachine) UpstreamResponse(now time.Time, a ledger.Answer) []Output {
 	ok := invariant.Check(m.written, invariant.FalseNotRun, "an answer arrived for a call that was not written",
 		map[string]any{"key": m.config.Claim.Key})
 	if !ok || m.state != running {
 		return nil
 	}
 	m.record = a
-	if a.Dropped || a.Size() > m.config.MaxAnswerBytes {
+	if a.Dropped || a.Size() > m.config.MaxResponseBytes {
 		m.record = ledger.Answer{Status: a.Status, Dropped: true}
 	}
 	m.enter(recording, now)
-	outputs := m.reply(Reply{Outcome: OutcomeDone, Answer: &a})
+	outputs := m.reply(Reply{Outcome: OutcomeDone, Response: &a})
 	return append(append(outputs, m.freeSlot()...), m.sendRecord())
 }
 
--- a/coordination/execution/execution_test.go
+++ b/coordination/execution/execution_test.go
@@ -120,7 +120,7 @@
 			report("not-run was said for %v, which ran", c.claim)
 		}
 		if c.reply != nil && c.reply.Outcome == execution.OutcomeDone {
-			answer := string(c.reply.Answer.Body)
+			answer := string(c.reply.Response.Body)
 			if previous, ok := answers[c.claim.Key]; ok && previous != answer {
 				report("%s has answers %q and %q", c.claim.Key, previous, answer)
 			}
--- a/coordination/execution/simulation_test.go
+++ b/coordination/execution/simulation_test.go
@@ -196,7 +196,7 @@
 	if !c.alive() {
 		return
 	}
-	if s.rng.IntN(10) == 0 || !c.Written(now()) {
+	if s.rng.IntN(10) == 0 || !c.BeginWrite(now()) {
 		s.input(c, failed)
 		return
 	}
@@ -214,7 +214,7 @@
 		s.ran(c)
 		answer := ledger.Answer{Status: 201, Body: []byte(fmt.Sprint(c.claim.Executor, c.claim.Incarnation, c.claim.Attempt))}
 		s.after(delay, func() {
-			s.input(c, func() []execution.Output { return c.UpstreamAnswer(now(), answer) })
+			s.input(c, func() []execution.Output { return c.UpstreamResponse(now(), answer) })
 		})
 	}
 }
--- a/coordination/execution/statemachine_test.go
+++ b/coordination/execution/statemachine_test.go
@@ -22,19 +22,19 @@
 
 	var m *execution.StateMachine
 	BeforeEach(func() {
-		m = execution.New(execution.Config{Claim: claim, Deadline: at(1000), MaxAnswerBytes: 10})
+		m = execution.New(execution.Config{Claim: claim, Deadline: at(1000), MaxResponseBytes: 10})
 		Expect(m.Admitted(at(0))).To(HaveExactElements(execution.SendClaim{Claim: claim}))
 	})
 
 	It("records the answer of a call whose caller has left, until the ledger has it", func() {
 		Expect(m.ClaimResult(at(1), granted)).To(HaveExactElements(execution.RunUpstream{}))
-		Expect(m.Written(at(2))).To(BeTrue())
+		Expect(m.BeginWrite(at(2))).To(BeTrue())
 		Expect(m.CallerGone(at(3))).To(BeEmpty())
 		record := execution.SendRecord{Record: ledger.Record{
 			Key: "k", Executor: "a", Incarnation: 2, Attempt: 7, Answer: ledger.Answer{Status: 201, Dropped: true},
 		}}
 		tooLarge := ledger.Answer{Status: 201, Body: make([]byte, 11)}
-		Expect(m.UpstreamAnswer(at(5000), tooLarge)).To(HaveExactElements(execution.FreeSlot{}, record))
+		Expect(m.UpstreamResponse(at(5000), tooLarge)).To(HaveExactElements(execution.FreeSlot{}, record))
 		wake, ok := m.Wake()
 		Expect(ok).To(BeTrue())
 		Expect(m.Tick(wake)).To(HaveExactElements(record))
@@ -54,9 +54,9 @@
 		Expect(m.Tick(at(1000))).To(HaveExactElements(
 			reply(execution.OutcomeNotRun, execution.ReasonLedger), execution.FreeSlot{}, release))
 		Expect(m.ClaimResult(at(1001), granted)).To(BeEmpty(), "a late grant must not run the call")
-		Expect(m.Written(at(1001))).To(BeFalse())
+		Expect(m.BeginWrite(at(1001))).To(BeFalse())
 		Expect(m.Tick(at(1250))).To(HaveExactElements(release))
-		Expect(m.Tick(at(1000).Add(execution.DefaultReleaseFor))).To(BeEmpty())
+		Expect(m.Tick(at(1000).Add(execution.DefaultReleaseTimeout))).To(BeEmpty())
 		Expect(m.Closed()).To(BeTrue())
 	})
 
@@ -74,7 +74,7 @@
 
 	It("says not-run after the claim is given back, so that a retry finds the key free", func() {
 		m.ClaimResult(at(1), granted)
-		m.Written(at(1))
+		m.BeginWrite(at(1))
 		Expect(m.UpstreamRefused(at(2))).To(HaveExactElements(execution.FreeSlot{}, release))
 		Expect(m.ReleaseAck(at(3), ledger.Result{Status: ledger.Released})).To(HaveExactElements(
 			reply(execution.OutcomeNotRun, execution.ReasonUpstream)))
@@ -84,7 +84,7 @@
 		Expect(m.ClaimResult(at(1), r)).To(ContainElements(expected, execution.FreeSlot{}))
 	},
 		Entry("done", ledger.Result{Status: ledger.Done, Answer: &ledger.Answer{Status: 201}},
-			execution.Reply{Outcome: execution.OutcomeDone, Answer: &ledger.Answer{Status: 201}}),
+			execution.Reply{Outcome: execution.OutcomeDone, Response: &ledger.Answer{Status: 201}}),
 		Entry("key reused", ledger.Result{Status: ledger.KeyReused}, reply(execution.OutcomeNotRun, execution.ReasonKeyReused)),
 		Entry("key expired", ledger.Result{Status: ledger.Expired}, reply(execution.OutcomeNotRun, execution.ReasonKeyExpired)),
 		Entry("ledger full", ledger.Result{Status: ledger.Full}, reply(execution.OutcomeNotRun, execution.ReasonLedgerFull)),
--- a/coordination/execution/steps.go
+++ b/coordination/execution/steps.go
@@ -13,7 +13,7 @@
 	m.state = s
 	m.resends = 0
 	m.resendAt = now.Add(m.interval())
-	m.giveUpAt = now.Add(m.config.ReleaseFor)
+	m.giveUpAt = now.Add(m.config.ReleaseTimeout)
 }
 
 // interval returns the time until the next message to the ledger.
--- a/node/once.go
+++ b/node/once.go
@@ -256,7 +256,7 @@
 		c.refused = reason
 		return c.machine.UpstreamRefused(now)
 	}
-	if !c.machine.Written(now) {
+	if !c.machine.BeginWrite(now) {
 		c.freeSlot()
 		return c.machine.UpstreamFailed(now)
 	}
@@ -302,7 +302,7 @@
 	whole := ledger.Answer{
 		Status: answer.Response.StatusCode, Header: web.CopyHeader(answer.Response.Header), Body: body,
 	}
-	return func(now time.Time) []execution.Output { return c.machine.UpstreamAnswer(now, whole) }
+	return func(now time.Time) []execution.Output { return c.machine.UpstreamResponse(now, whole) }
 }
 
 func readWhole(body io.Reader) ([]byte, error) {
@@ -343,7 +343,7 @@
 	case execution.OutcomeUnknown:
 		return uncertain(reason)
 	default:
-		return answerReply(output.Answer)
+		return answerReply(output.Response)
 	}
 }
 
