--- a/coordination/execution/execution_test.go
+++ b/coordination/execution/execution_test.go
@@ -18,21 +18,21 @@
 )
 
 func TestExecution(t *testing.T) {
-	// A fixed seed gives every run the same verdict, and makes files that repeat a failure unnecessary.
+	// With a fixed seed every run checks the same cases, so rapid need not store files that reproduce a failure.
 	fixedseed.Set(t)
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "execution")
 }
 
-// unknownStatus is the output of a command whose result was lost.
+// unknownStatus is recorded in the history for a command whose result was lost.
 const unknownStatus = ledger.Status(255)
 
-// specState is the state of one key in the specification that histories are checked against.
+// specState is the state of one key in the specification against which porcupine checks the history of the ledger.
 type specState struct {
-	status ledger.Status
-	holder string
-	answer string
-	voided string // released attempts, each between bars
+	status   ledger.Status
+	holder   string
+	response string
+	voided   string // the released attempts, sorted, each between two bars
 }
 
 func commandKey(c ledger.Command) string {
@@ -47,14 +47,14 @@
 	return c.Query.Key
 }
 
-// step is the specification: what one command does to a key.
-func step(s specState, c ledger.Command) (ledger.Status, specState) {
-	by := func(executor string, incarnation, attempt uint64) string {
+// applyToSpec returns the status that a command must return and the state of the key after it.
+func applyToSpec(s specState, c ledger.Command) (ledger.Status, specState) {
+	attemptID := func(executor string, incarnation, attempt uint64) string {
 		return fmt.Sprintf("|%s/%d/%d|", executor, incarnation, attempt)
 	}
 	switch {
 	case c.Claim != nil:
-		holder := by(c.Claim.Executor, c.Claim.Incarnation, c.Claim.Attempt)
+		holder := attemptID(c.Claim.Executor, c.Claim.Incarnation, c.Claim.Attempt)
 		free := s.status == ledger.Absent || (s.status == ledger.Released && !strings.Contains(s.voided, holder))
 		if free {
 			s.status, s.holder = ledger.Claimed, holder
@@ -63,11 +63,11 @@
 			return ledger.Granted, s
 		}
 	case c.Record != nil:
-		if s.status == ledger.Claimed && s.holder == by(c.Record.Executor, c.Record.Incarnation, c.Record.Attempt) {
-			s.status, s.answer = ledger.Done, string(c.Record.Answer.Body)
+		if s.status == ledger.Claimed && s.holder == attemptID(c.Record.Executor, c.Record.Incarnation, c.Record.Attempt) {
+			s.status, s.response = ledger.Done, string(c.Record.Answer.Body)
 		}
 	case c.Release != nil && s.status != ledger.Done:
-		holder := by(c.Release.Executor, c.Release.Incarnation, c.Release.Attempt)
+		holder := attemptID(c.Release.Executor, c.Release.Incarnation, c.Release.Attempt)
 		if s.status == ledger.Absent || (s.status == ledger.Claimed && s.holder == holder) {
 			s.status = ledger.Released
 		}
@@ -95,61 +95,62 @@
 	},
 	Init: func() any { return specState{status: ledger.Absent} },
 	Step: func(state, input, output any) (bool, any) {
-		status, next := step(state.(specState), input.(ledger.Command))
+		status, next := applyToSpec(state.(specState), input.(ledger.Command))
 		r := output.(ledger.Result)
 		ok := r.Status == unknownStatus || r.Status == status
 		if ok && r.Status == ledger.Done {
-			ok = string(r.Answer.Body) == next.answer
+			ok = string(r.Answer.Body) == next.response
 		}
 		return ok, next
 	},
 }
 
-// violations checks a finished simulation against the ground truth.
+// violations compares what callers were told in a finished simulation with what the upstreams ran.
 func (s *simulation) violations() []string {
 	var list []string
 	report := func(format string, values ...any) { list = append(list, fmt.Sprintf(format, values...)) }
-	answers := make(map[string]string)
+	responses := make(map[string]string)
 	for key, runs := range s.runs {
 		if runs > 1 {
 			report("%s ran %d times", key, runs)
 		}
 	}
 	for _, c := range s.calls {
-		if c.reply != nil && c.reply.Outcome == execution.OutcomeNotRun && c.ran {
-			report("not-run was said for %v, which ran", c.claim)
+		if c.reply != nil && c.reply.Outcome == execution.OutcomeNotRun && c.ranUpstream {
+			report("outcome not-run for %v, which ran", c.claim)
 		}
 		if c.reply != nil && c.reply.Outcome == execution.OutcomeDone {
-			answer := string(c.reply.Response.Body)
-			if previous, ok := answers[c.claim.Key]; ok && previous != answer {
-				report("%s has answers %q and %q", c.claim.Key, previous, answer)
+			response := string(c.reply.Response.Body)
+			if previous, ok := responses[c.claim.Key]; ok && previous != response {
+				report("%s has responses %q and %q", c.claim.Key, previous, response)
 			}
-			answers[c.claim.Key] = answer
+			responses[c.claim.Key] = response
 			if s.runs[c.claim.Key] != 1 {
-				report("%s has an answer after %d runs", c.claim.Key, s.runs[c.claim.Key])
+				report("%s has a response after %d runs", c.claim.Key, s.runs[c.claim.Key])
 			}
 		}
-		if c.alive() && (!c.Closed() || (c.admitted && c.freed != 1)) {
-			report("%v is closed: %v, freed its slot %d times", c.claim, c.Closed(), c.freed)
+		if c.nodeRunning() && (!c.Closed() || (c.admitted && c.slotsFreed != 1)) {
+			report("%v is closed: %v, freed its slot %d times", c.claim, c.Closed(), c.slotsFreed)
 		}
 	}
-	return append(list, s.stuck()...)
+	return append(list, s.leakedClaims()...)
 }
 
-// stuck returns the keys that stay claimed although their holder knows that the call was not run, or has its answer.
-func (s *simulation) stuck() []string {
+// leakedClaims reports the keys that stay claimed although their holder knows that the call was not run, or has its
+// response.
+func (s *simulation) leakedClaims() []string {
 	var list []string
 	for _, c := range s.calls {
 		r := s.ledger.Lookup(ledger.Query{Key: c.claim.Key})
 		holds := r.Holder.Executor == c.claim.Executor && r.Holder.Incarnation == c.claim.Incarnation && r.Holder.Attempt == c.claim.Attempt
-		if r.Status == ledger.Claimed && holds && c.alive() && !c.unanswered {
-			list = append(list, fmt.Sprintf("%v holds its key for ever", c.claim))
+		if r.Status == ledger.Claimed && holds && c.nodeRunning() && !c.noResponse {
+			list = append(list, fmt.Sprintf("%v never releases its key", c.claim))
 		}
 	}
 	return list
 }
 
-func simulate(seed uint64, f faults) (*simulation, []string) {
+func simulate(seed uint64, f injectedFaults) (*simulation, []string) {
 	s := newSimulation(seed, f)
 	s.run()
 	list := s.violations()
@@ -159,8 +160,8 @@
 	return s, list
 }
 
-// found returns the violations of the first seeds of a broken system, as one text.
-func found(f faults) string {
+// violationsWith runs 60 seeds with an injected fault and returns all violations as one text.
+func violationsWith(f injectedFaults) string {
 	var all []string
 	for seed := range uint64(60) {
 		_, list := simulate(seed, f)
@@ -170,13 +171,15 @@
 }
 
 var _ = Describe("Simulation", func() {
-	It("runs irreversible calls at most once, answers truthfully and stays linearizable", func() {
+	// Guards against losses, repeats and delays of messages and crashes of executors that run a call twice, tell the
+	// caller a wrong outcome, leave a slot or a key occupied, or make the ledger's history impossible to linearize.
+	It("runs irreversible calls at most once, reports true outcomes and stays linearizable", func() {
 		outcomes := make(map[execution.Outcome]int)
 		executed, claimed := 0, 0
 		before := invariant.Counts()
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			for range 10 {
-				s, list := simulate(rapid.Uint64().Draw(t, "seed"), faults{})
+				s, list := simulate(rapid.Uint64().Draw(t, "seed"), injectedFaults{})
 				if len(list) > 0 {
 					t.Fatal(strings.Join(list, "\n"))
 				}
@@ -195,21 +198,22 @@
 				}
 			}
 		})
-		GinkgoWriter.Printf("outcomes %v, runs %d, answers 'claimed' %d\n", outcomes, executed, claimed)
+		GinkgoWriter.Printf("outcomes %v, runs %d, results 'claimed' %d\n", outcomes, executed, claimed)
 		Expect(invariant.Counts()).To(Equal(before))
 		Expect(outcomes).To(HaveLen(3), "the simulation must reach every outcome")
 		Expect(claimed).To(BeNumerically(">", 100))
 	})
 
-	It("finds executors that run a call whose claim another attempt holds", func() {
-		Expect(found(faults{runOnClaimed: true})).To(ContainSubstring("ran 2 times"))
+	It("detects executors that run a call whose claim another attempt holds", func() {
+		Expect(violationsWith(injectedFaults{runOnClaimed: true})).To(ContainSubstring("ran 2 times"))
 	})
 
-	It("finds a false not-run", func() {
-		Expect(found(faults{notRunOnDeadline: true})).To(ContainSubstring("not-run was said"))
+	It("detects the outcome not-run for a call that was run", func() {
+		Expect(violationsWith(injectedFaults{notRunOnDeadline: true})).To(ContainSubstring("outcome not-run"))
 	})
 
-	It("finds a ledger service that answers from a stale replica", func() {
-		Expect(found(faults{staleReplica: true})).To(ContainSubstring("not linearizable"))
+	It("detects a ledger that serves commands from a stale replica", func() {
+
+		Expect(violationsWith(injectedFaults{staleReplica: true})).To(ContainSubstring("not linearizable"))
 	})
 })
--- a/coordination/execution/simulation_test.go
+++ b/coordination/execution/simulation_test.go
@@ -13,13 +13,13 @@
 	"sapphiregate.example/sapphiregate/state/ledger"
 )
 
-// faults selects what the simulation breaks on purpose, to show that its checks can fail.
-type faults struct {
+// injectedFaults selects faults of the system under test that the checks of the simulation must detect.
+type injectedFaults struct {
 	// runOnClaimed makes executors run calls whose claim belongs to another attempt.
 	runOnClaimed bool
-	// notRunOnDeadline makes executors report calls as not run that were written and not answered in time.
+	// notRunOnDeadline makes executors report a call as not run if it was written and its deadline then passed.
 	notRunOnDeadline bool
-	// staleReplica makes the ledger service answer some commands from a second copy of the state.
+	// staleReplica makes the ledger serve some commands from a second copy of the state that lacks other commands.
 	staleReplica bool
 }
 
@@ -30,16 +30,16 @@
 	simDuration = 5 * time.Second
 )
 
-type event struct {
+type scheduledEvent struct {
 	at time.Duration
 	do func()
 }
 
-// node is an executor. A crash loses its calls and starts the next incarnation.
+// node is an executor. A crash is a new incarnation, which does not continue the calls of the earlier one.
 type node struct {
 	id          string
 	incarnation uint64
-	clock       time.Duration // offset from the time of the simulation
+	clock       time.Duration // offset of the node's clock from the time of the simulation
 	attempts    uint64
 }
 
@@ -50,35 +50,36 @@
 	incarnation uint64
 	claim       ledger.Claim
 	reply       *execution.Reply
-	freed       int
+	slotsFreed  int
 	admitted    bool
-	ran         bool // on the upstream
-	unanswered  bool // the upstream was written to and gave no answer
+	ranUpstream bool // the upstream ran the call
+	noResponse  bool // the request was written to the upstream, which failed without a response
 }
 
-func (c *call) alive() bool { return c.incarnation == c.node.incarnation }
+// nodeRunning reports whether the node has not crashed since the call arrived.
+func (c *call) nodeRunning() bool { return c.incarnation == c.node.incarnation }
 
 // simulation runs callers, executors and upstreams against a ledger service that loses, repeats and delays messages.
 type simulation struct {
-	rng     *rand.Rand
-	faults  faults
-	now     time.Duration
-	queue   []event // the next one is the last
-	ledger  *ledger.Ledger
-	stale   *ledger.Ledger
-	nodes   []*node
-	calls   []*call
-	runs    map[string]int
-	history []porcupine.Operation
-	lossy   bool
+	rng         *rand.Rand
+	faults      injectedFaults
+	now         time.Duration
+	queue       []scheduledEvent // sorted by time, the earliest last
+	ledger      *ledger.Ledger
+	staleLedger *ledger.Ledger
+	nodes       []*node
+	calls       []*call
+	runs        map[string]int
+	history     []porcupine.Operation
+	lossy       bool
 }
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-func newSimulation(seed uint64, f faults) *simulation {
+func newSimulation(seed uint64, f injectedFaults) *simulation {
 	s := &simulation{
 		rng: rand.New(rand.NewPCG(seed, 3)), faults: f, runs: make(map[string]int), lossy: true,
-		ledger: ledger.New(ledger.Config{}), stale: ledger.New(ledger.Config{}),
+		ledger: ledger.New(ledger.Config{}), staleLedger: ledger.New(ledger.Config{}),
 	}
 	for i := range simNodes {
 		skew := time.Duration(s.rng.IntN(4000)-2000) * time.Second
@@ -112,8 +113,8 @@
 func (s *simulation) chance(percent int) bool { return s.lossy && s.rng.IntN(100) < percent }
 
 func (s *simulation) after(delay time.Duration, do func()) {
-	e := event{at: s.now + delay, do: do}
-	i, _ := slices.BinarySearchFunc(s.queue, e, func(a, b event) int { return cmp.Compare(b.at, a.at) })
+	e := scheduledEvent{at: s.now + delay, do: do}
+	i, _ := slices.BinarySearchFunc(s.queue, e, func(a, b scheduledEvent) int { return cmp.Compare(b.at, a.at) })
 	s.queue = slices.Insert(s.queue, i, e)
 }
 
@@ -140,13 +141,13 @@
 
 func (s *simulation) clock(n *node) time.Time { return epoch.Add(s.now + n.clock) }
 
-// input feeds the machine of a call and carries out its outputs, unless its node has crashed.
+// input passes an input to the state machine of a call and carries out the outputs, unless the node has crashed.
 func (s *simulation) input(c *call, feed func() []execution.Output) {
-	if !c.alive() {
+	if !c.nodeRunning() {
 		return
 	}
 	for _, output := range feed() {
-		s.output(c, output)
+		s.carryOut(c, output)
 	}
 	if wake, ok := c.Wake(); ok {
 		s.after(max(0, wake.Sub(s.clock(c.node))), func() {
@@ -157,7 +158,7 @@
 	}
 }
 
-func (s *simulation) output(c *call, output execution.Output) {
+func (s *simulation) carryOut(c *call, output execution.Output) {
 	now := func() time.Time { return s.clock(c.node) }
 	switch o := output.(type) {
 	case execution.SendClaim:
@@ -185,15 +186,16 @@
 		}
 		c.reply = &o
 	case execution.FreeSlot:
-		c.freed++
+		c.slotsFreed++
 	}
 }
 
-// upstream writes the call to the upstream, which may run it, refuse it or fail. The upstream survives its node.
+// upstream writes the call to the upstream, which may run it, refuse it or fail. A crash of the node does not stop the
+// upstream.
 func (s *simulation) upstream(c *call) {
 	now := func() time.Time { return s.clock(c.node) }
 	failed := func() []execution.Output { return c.UpstreamFailed(now()) }
-	if !c.alive() {
+	if !c.nodeRunning() {
 		return
 	}
 	if s.rng.IntN(10) == 0 || !c.BeginWrite(now()) {
@@ -205,30 +207,30 @@
 	case 0:
 		s.after(delay, func() { s.input(c, func() []execution.Output { return c.UpstreamRefused(now()) }) })
 	case 1, 2:
-		c.unanswered = true
+		c.noResponse = true
 		if kind == 1 {
-			s.ran(c)
+			s.recordRun(c)
 		}
 		s.after(delay, func() { s.input(c, failed) })
 	default:
-		s.ran(c)
-		answer := ledger.Answer{Status: 201, Body: []byte(fmt.Sprint(c.claim.Executor, c.claim.Incarnation, c.claim.Attempt))}
+		s.recordRun(c)
+		response := ledger.Answer{Status: 201, Body: []byte(fmt.Sprint(c.claim.Executor, c.claim.Incarnation, c.claim.Attempt))}
 		s.after(delay, func() {
-			s.input(c, func() []execution.Output { return c.UpstreamResponse(now(), answer) })
+			s.input(c, func() []execution.Output { return c.UpstreamResponse(now(), response) })
 		})
 	}
 }
 
-func (s *simulation) ran(c *call) {
-	c.ran = true
+func (s *simulation) recordRun(c *call) {
+	c.ranUpstream = true
 	s.runs[c.claim.Key]++
 }
 
-// send carries a command to the ledger service, up to twice, and at most one result back.
+// send sends one or two copies of a command to the ledger and delivers at most one result.
 func (s *simulation) send(c *call, command ledger.Command, deliver func(ledger.Result) []execution.Output) {
 	s.transmit(command, func(r ledger.Result, returned func()) {
 		s.after(s.random(200*time.Millisecond), func() {
-			if c.alive() {
+			if c.nodeRunning() {
 				returned()
 				s.input(c, func() []execution.Output { return deliver(r) })
 			}
@@ -239,8 +241,9 @@
 	}
 }
 
-// transmit applies one copy of a command and notes it in the history. Copies without a delivered result stay open.
-func (s *simulation) transmit(command ledger.Command, answer func(r ledger.Result, returned func())) {
+// transmit applies one copy of a command, unless it is lost, and records it in the history. A copy whose result is not
+// delivered has no end in the history, so that it may take effect at any later time.
+func (s *simulation) transmit(command ledger.Command, receive func(r ledger.Result, returned func())) {
 	index := len(s.history)
 	s.history = append(s.history, porcupine.Operation{
 		ClientId: index, Input: command, Call: int64(s.now), Output: ledger.Result{Status: unknownStatus}, Return: 1 << 62,
@@ -253,11 +256,11 @@
 		command.NowMs = epoch.Add(s.now).UnixMilli() + int64(s.rng.IntN(3)-1)*20*60_000
 		result := s.ledger.Apply(command)
 		if s.faults.staleReplica && s.rng.IntN(3) == 0 {
-			result = s.stale.Apply(command)
+			result = s.staleLedger.Apply(command)
 		}
 		if s.chance(15) {
 			return
 		}
-		answer(result, func() { s.history[index].Output, s.history[index].Return = result, int64(s.now) })
+		receive(result, func() { s.history[index].Output, s.history[index].Return = result, int64(s.now) })
 	})
 }
--- a/coordination/execution/statemachine_test.go
+++ b/coordination/execution/statemachine_test.go
@@ -26,7 +26,7 @@
 		Expect(m.Admitted(at(0))).To(HaveExactElements(execution.SendClaim{Claim: claim}))
 	})
 
-	It("records the answer of a call whose caller has left, until the ledger has it", func() {
+	It("sends the response of a call whose caller has left until the ledger confirms it", func() {
 		Expect(m.ClaimResult(at(1), granted)).To(HaveExactElements(execution.RunUpstream{}))
 		Expect(m.BeginWrite(at(2))).To(BeTrue())
 		Expect(m.CallerGone(at(3))).To(BeEmpty())
@@ -42,7 +42,7 @@
 		Expect(m.Closed()).To(BeTrue())
 	})
 
-	It("says not-run when the ledger cannot be reached, and gives the claim back only if it may have been sent", func() {
+	It("replies not-run when the ledger cannot be reached, and releases the claim only if the ledger may have it", func() {
 		m.ClaimRefused(at(1))
 		Expect(m.Tick(at(1000))).To(HaveExactElements(reply(execution.OutcomeNotRun, execution.ReasonLedger), execution.FreeSlot{}))
 		Expect(m.Closed()).To(BeTrue())
@@ -60,7 +60,7 @@
 		Expect(m.Closed()).To(BeTrue())
 	})
 
-	It("asks until its deadline while an earlier incarnation of its own node holds the claim", func() {
+	It("queries the ledger until the deadline while an earlier incarnation of its own node holds the claim", func() {
 		earlier := ledger.Result{Status: ledger.Claimed, Holder: ledger.Claim{Key: "k", Executor: "a", Incarnation: 1, Attempt: 7}}
 		Expect(m.ClaimResult(at(0), earlier)).To(HaveExactElements(execution.FreeSlot{}, release, query))
 		m.ReleaseAck(at(1), earlier)
@@ -72,7 +72,7 @@
 		Expect(m.Closed()).To(BeTrue())
 	})
 
-	It("says not-run after the claim is given back, so that a retry finds the key free", func() {
+	It("replies not-run only after the claim is released, so that a retry finds the key free", func() {
 		m.ClaimResult(at(1), granted)
 		m.BeginWrite(at(1))
 		Expect(m.UpstreamRefused(at(2))).To(HaveExactElements(execution.FreeSlot{}, release))
@@ -80,7 +80,7 @@
 			reply(execution.OutcomeNotRun, execution.ReasonUpstream)))
 	})
 
-	DescribeTable("answers from the ledger without running the call", func(r ledger.Result, expected execution.Reply) {
+	DescribeTable("replies from the ledger's result without running the call", func(r ledger.Result, expected execution.Reply) {
 		Expect(m.ClaimResult(at(1), r)).To(ContainElements(expected, execution.FreeSlot{}))
 	},
 		Entry("done", ledger.Result{Status: ledger.Done, Answer: &ledger.Answer{Status: 201}},
--- a/coordination/execution/status.go
+++ b/coordination/execution/string.go
@@ -12,7 +12,7 @@
 	}
 }
 
-// String names the reason in logs and answers.
+// String names the reason in logs and in responses to the caller.
 func (r Reason) String() string {
 	switch r {
 	case ReasonDeadline:
@@ -36,7 +36,7 @@
 	}
 }
 
-// State names the phase of the call, for the state dump.
+// State returns the name of the phase of the call for the state dump.
 func (m *StateMachine) State() string {
 	switch m.state {
 	case waiting:
@@ -47,7 +47,7 @@
 		return "running"
 	case recording:
 		return "recording"
-	case asking:
+	case querying:
 		return "asking"
 	case releasing:
 		return "releasing"
--- a/coordination/execution/steps.go
+++ b/coordination/execution/transitions.go
@@ -6,39 +6,39 @@
 	"sapphiregate.example/sapphiregate/state/ledger"
 )
 
-func notRun(reason Reason) Reply { return Reply{Outcome: OutcomeNotRun, Reason: reason} }
+func notRunReply(reason Reason) Reply { return Reply{Outcome: OutcomeNotRun, Reason: reason} }
 
-// enter changes the state and starts its timers.
+// enter changes the state and restarts the timers of messages to the ledger.
 func (m *StateMachine) enter(s state, now time.Time) {
 	m.state = s
 	m.resends = 0
-	m.resendAt = now.Add(m.interval())
-	m.giveUpAt = now.Add(m.config.ReleaseTimeout)
+	m.resendAt = now.Add(m.resendInterval())
+	m.releaseDeadline = now.Add(m.config.ReleaseTimeout)
 }
 
-// interval returns the time until the next message to the ledger.
-func (m *StateMachine) interval() time.Duration {
+// resendInterval returns the time until the last message to the ledger is sent again.
+func (m *StateMachine) resendInterval() time.Duration {
 	base := m.config.ResendAfter
-	if m.state == asking {
+	if m.state == querying {
 		base = m.config.QueryInterval
 	}
 	return base << min(m.resends, maxBackoffDoublings)
 }
 
-// awaitsDeadline reports whether the deadline still changes something.
+// awaitsDeadline reports whether passing the deadline still has an effect.
 func (m *StateMachine) awaitsDeadline() bool {
-	return m.state != closed && (!m.answered || (m.state != recording && m.state != releasing && !m.written))
+	return m.state != closed && (!m.replied || (m.state != recording && m.state != releasing && !m.written))
 }
 
-// awaitsLedger reports whether messages to the ledger must be sent again.
+// awaitsLedger reports whether a message to the ledger must be sent again until the ledger replies.
 func (m *StateMachine) awaitsLedger() bool {
-	return m.state == claiming || m.state == recording || m.state == asking || m.state == releasing
+	return m.state == claiming || m.state == recording || m.state == querying || m.state == releasing
 }
 
-// finish replies at once, frees the slot and gives the claim back if it may have been granted or may still be.
+// finish replies at once and frees the slot. It releases the claim unless the ledger cannot have granted it.
 func (m *StateMachine) finish(now time.Time, r Reply) []Output {
 	outputs := append(m.reply(r), m.freeSlot()...)
-	if m.void || (m.state == claiming && m.unrefused == 0) {
+	if m.claimVoid || (m.state == claiming && m.unrefusedClaims == 0) {
 		m.state = closed
 		return outputs
 	}
@@ -46,28 +46,28 @@
 	return append(outputs, m.sendRelease())
 }
 
-// hold keeps a reply until the claim is given back.
-func (m *StateMachine) hold(now time.Time, r Reply) {
-	if !m.answered {
-		m.held = &r
+// releaseBeforeReply keeps a reply until the claim is released.
+func (m *StateMachine) releaseBeforeReply(now time.Time, r Reply) {
+	if !m.replied {
+		m.pendingReply = &r
 	}
 	m.enter(releasing, now)
 }
 
-func (m *StateMachine) replyHeld() []Output {
-	if m.held == nil {
+func (m *StateMachine) sendPendingReply() []Output {
+	if m.pendingReply == nil {
 		return nil
 	}
-	r := *m.held
-	m.held = nil
+	r := *m.pendingReply
+	m.pendingReply = nil
 	return m.reply(r)
 }
 
 func (m *StateMachine) reply(r Reply) []Output {
-	if m.answered {
+	if m.replied {
 		return nil
 	}
-	m.answered = true
+	m.replied = true
 	return []Output{r}
 }
 
@@ -87,8 +87,8 @@
 		return []Output{m.sendRecord()}
 	case releasing:
 		return []Output{m.sendRelease()}
-	case asking:
-		if !m.void {
+	case querying:
+		if !m.claimVoid {
 			return []Output{m.sendRelease(), m.sendQuery()}
 		}
 		return []Output{m.sendQuery()}
@@ -98,7 +98,7 @@
 }
 
 func (m *StateMachine) sendClaim() []Output {
-	m.unrefused++
+	m.unrefusedClaims++
 	return []Output{SendClaim{Claim: m.config.Claim}}
 }
 
@@ -110,7 +110,7 @@
 func (m *StateMachine) sendRecord() Output {
 	c := m.config.Claim
 	return SendRecord{Record: ledger.Record{
-		Key: c.Key, Executor: c.Executor, Incarnation: c.Incarnation, Attempt: c.Attempt, Answer: m.record,
+		Key: c.Key, Executor: c.Executor, Incarnation: c.Incarnation, Attempt: c.Attempt, Answer: m.recordedResponse,
 	}}
 }
 
