--- a/control/operators.go
+++ b/control/operators.go
@@ -215,7 +215,7 @@
 }
 
 var verdictNames = map[quarantine.Verdict]string{
-	quarantine.Allowed: "allowed", quarantine.Alone: "isolated", quarantine.Refused: "quarantined",
+	quarantine.Allowed: "allowed", quarantine.Exclusive: "isolated", quarantine.Refused: "quarantined",
 }
 
 // Quarantine lists suspect and quarantined requests.
--- a/coordination/quarantine/entry.go
+++ b/coordination/quarantine/entry.go
@@ -34,7 +34,7 @@
 		case c.isolated:
 			return Refused
 		default:
-			verdict = Alone
+			verdict = Exclusive
 		}
 	}
 	return verdict
@@ -79,7 +79,7 @@
 	switch v {
 	case Allowed:
 		return "allowed"
-	case Alone:
+	case Exclusive:
 		return "alone"
 	default:
 		return "refused"
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -64,8 +64,8 @@
 	Sequence    uint64 `cbor:"3,keyasint"`
 	// Fingerprints lists the requests in flight when the upstream crashed.
 	Fingerprints []Fingerprint `cbor:"4,keyasint,omitempty"`
-	// Isolated is set if the only request in flight was run alone because it was suspect.
-	Isolated bool `cbor:"5,keyasint,omitempty"`
+	// Exclusive is set if the only request in flight was run alone because it was suspect.
+	Exclusive bool `cbor:"5,keyasint,omitempty"`
 	// Cleared lists requests that ran successfully or that an operator cleared.
 	Cleared []Clearance `cbor:"6,keyasint,omitempty"`
 	// Age is the time since the crash, as far as the sender knows.
@@ -84,8 +84,8 @@
 const (
 	// Allowed requests run as usual.
 	Allowed Verdict = iota
-	// Alone requests run only on an upstream that runs nothing else, and are not retried.
-	Alone
+	// Exclusive requests run only on an upstream that runs nothing else, and are not retried.
+	Exclusive
 	// Refused requests are quarantined.
 	Refused
 )
@@ -107,8 +107,8 @@
 	Incarnation uint64
 	// Duration is the time for which a crash counts against a request.
 	Duration time.Duration
-	// Remember is the time after a crash for which it is remembered, so that repeated reports do not revive it.
-	Remember time.Duration
+	// Retention is the time after a crash for which it is remembered, so that repeated reports do not revive it.
+	Retention time.Duration
 	// MaxEntries bounds the requests on the list; the oldest are dropped first.
 	MaxEntries int
 }
@@ -116,15 +116,15 @@
 // The defaults of Config.
 const (
 	DefaultDuration = 10 * time.Minute
-	// DefaultRemember is the longest partition that the design page plans for.
-	DefaultRemember = time.Hour
+	// DefaultRetention is the longest partition that the design page plans for.
+	DefaultRetention = time.Hour
 	// DefaultMaxEntries covers a crash of 80 upstreams with 120 requests in flight each.
 	DefaultMaxEntries = 10_000
 )
 
 func (c Config) withDefaults() Config {
 	c.Duration = cmp.Or(c.Duration, DefaultDuration)
-	c.Remember = max(c.Duration, cmp.Or(c.Remember, DefaultRemember))
+	c.Retention = max(c.Duration, cmp.Or(c.Retention, DefaultRetention))
 	c.MaxEntries = cmp.Or(c.MaxEntries, DefaultMaxEntries)
 	return c
 }
@@ -151,7 +151,7 @@
 	defer l.mu.Unlock()
 	r := l.newReport()
 	r.Fingerprints = slices.Clone(inFlight)
-	r.Isolated = isolated && len(inFlight) == 1
+	r.Exclusive = isolated && len(inFlight) == 1
 	l.merge(now, r)
 	return r
 }
@@ -178,7 +178,7 @@
 // Succeeded clears the suspicion against a request that ran. A quarantined request is not cleared: a run that began
 // before it was quarantined proves nothing about later ones. The report must be published if the result is true.
 func (l *List) Succeeded(now time.Time, f Fingerprint) (Report, bool) {
-	if l.Verdict(now, f) != Alone {
+	if l.Verdict(now, f) != Exclusive {
 		return Report{}, false
 	}
 	return l.Clear(now, f)
@@ -230,7 +230,7 @@
 	reports := make(map[ReportID]*Report)
 	for _, f := range l.sorted() {
 		for id, c := range l.entries[f].crashes {
-			if now.Sub(c.at) >= l.config.Remember {
+			if now.Sub(c.at) >= l.config.Retention {
 				continue
 			}
 			r, ok := reports[id]
@@ -253,7 +253,7 @@
 func (r *Report) add(f Fingerprint, id ReportID, c *crash) {
 	if c.reported {
 		r.Fingerprints = append(r.Fingerprints, f)
-		r.Isolated = r.Isolated || c.isolated
+		r.Exclusive = r.Exclusive || c.isolated
 	}
 	if c.cleared {
 		r.Cleared = append(r.Cleared, Clearance{Fingerprint: f, Crashes: []ReportID{id}})
@@ -269,7 +269,7 @@
 // added, flags are only set, and the time of a crash only moves back.
 func (l *List) merge(now time.Time, r Report) bool {
 	at := now.Add(-max(0, r.Age))
-	if now.Sub(at) >= l.config.Remember {
+	if now.Sub(at) >= l.config.Retention {
 		return false
 	}
 	changed := false
@@ -277,7 +277,7 @@
 		c, added := l.crash(f, r.ID(), at)
 		changed = changed || added || !c.reported
 		c.reported = true
-		c.isolated = c.isolated || r.Isolated
+		c.isolated = c.isolated || r.Exclusive
 	}
 	for _, clearance := range r.Cleared {
 		for _, id := range clearance.Crashes {
@@ -319,7 +319,7 @@
 	l.expired = now
 	for f, e := range l.entries {
 		for id, c := range e.crashes {
-			if now.Sub(c.at) >= l.config.Remember {
+			if now.Sub(c.at) >= l.config.Retention {
 				delete(e.crashes, id)
 			}
 		}
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -78,7 +78,7 @@
 			m.spread(begin, node.Crashed(begin, []fingerprint{request(i)}, false))
 		}
 		for i := range m {
-			Expect(m[0].Verdict(begin, request(i))).To(Equal(quarantine.Alone), "one call in flight is no proof")
+			Expect(m[0].Verdict(begin, request(i))).To(Equal(quarantine.Exclusive), "one call in flight is no proof")
 			r, ok := m[i].Succeeded(begin, request(i))
 			Expect(ok).To(BeTrue())
 			m.spread(begin, r)
@@ -92,7 +92,7 @@
 		report := other.Crashed(begin, []fingerprint{request(1)}, true)
 		node.Observe(begin.Add(time.Second), report)
 		Expect(node.Verdict(begin, request(1))).To(Equal(quarantine.Refused))
-		Expect(node.Verdict(begin, request(2))).To(Equal(quarantine.Alone))
+		Expect(node.Verdict(begin, request(2))).To(Equal(quarantine.Exclusive))
 		_, ok := node.Succeeded(begin, request(1))
 		Expect(ok).To(BeFalse(), "a run that began earlier proves nothing")
 		Expect(node.Entries(begin)[0].Upstreams).To(Equal([]string{"a", "b"}))
@@ -128,7 +128,7 @@
 		}
 		Expect(l.Verdict(begin, request(0))).To(Equal(quarantine.Allowed))
 		Expect(l.Entries(begin)).To(HaveLen(2))
-		later := begin.Add(2 * quarantine.DefaultRemember)
+		later := begin.Add(2 * quarantine.DefaultRetention)
 		l.Crashed(later, []fingerprint{request(9)}, false)
 		Expect(l.Reports(later)).To(HaveLen(1))
 	})
@@ -202,7 +202,7 @@
 						if n != culprit && (crashes[n] < 2 || !isolated[n]) {
 							t.Fatalf("innocent %d refused after %d crashes", n, crashes[n])
 						}
-					case quarantine.Alone:
+					case quarantine.Exclusive:
 						if len(running) == 0 {
 							running, alone = []int{n}, true
 						}
--- a/node/executor.go
+++ b/node/executor.go
@@ -91,7 +91,7 @@
 	}
 	e.nextID++
 	id := e.nextID
-	call := &runningCall{fingerprint: fingerprint, alone: head.Alone || verdict == quarantine.Alone}
+	call := &runningCall{fingerprint: fingerprint, alone: head.Alone || verdict == quarantine.Exclusive}
 	ticket := admission.Ticket{
 		ID: id, Class: head.Class, Priority: head.Priority, Route: head.Route, Deadline: deadline, Alone: call.alone,
 	}
--- a/node/ingress.go
+++ b/node/ingress.go
@@ -225,7 +225,7 @@
 	switch c.node.quarantine.Verdict(c.started, fingerprint) {
 	case quarantine.Refused:
 		return protocol.ReasonQuarantined
-	case quarantine.Alone:
+	case quarantine.Exclusive:
 		c.alone = true
 	}
 	return protocol.ReasonNone
