--- a/coordination/quarantine/entry.go
+++ b/coordination/quarantine/entry.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// entry holds the crashes with one request in flight.
+// entry holds the crashes that happened while one request was in flight.
 type entry struct {
 	crashes map[ReportID]*crash
 }
 
-// crash is one request's part in a crash.
+// crash describes a crash of an upstream with respect to one request that was in flight.
 type crash struct {
-	// at is the earliest time at which this node can place the crash.
+	// at is the time of the crash: the earliest that follows from the reports that this node received.
 	at time.Time
-	// reported is unset while only the clearance has arrived.
+	// reported is unset if the clearance arrived before the report of the crash.
 	reported bool
-	isolated bool
-	cleared  bool
+	// exclusive is set if the request was the only one in flight because it was suspect already.
+	exclusive bool
+	cleared   bool
 }
 
-// counts reports whether the crash counts against the request.
-func (c *crash) counts(now time.Time, duration time.Duration) bool {
+// isActive reports whether the crash counts against the request at this time.
+func (c *crash) isActive(now time.Time, duration time.Duration) bool {
 	return c.reported && !c.cleared && now.Sub(c.at) < duration
 }
 
@@ -30,8 +31,8 @@
 	verdict := Allowed
 	for _, c := range e.crashes {
 		switch {
-		case !c.counts(now, duration):
-		case c.isolated:
+		case !c.isActive(now, duration):
+		case c.exclusive:
 			return Refused
 		default:
 			verdict = Exclusive
@@ -40,11 +41,11 @@
 	return verdict
 }
 
-// active returns the crashes that count, in order.
-func (e *entry) active(now time.Time, duration time.Duration) []ReportID {
+// activeCrashes returns the crashes that count against the request, in order of their identifier.
+func (e *entry) activeCrashes(now time.Time, duration time.Duration) []ReportID {
 	var list []ReportID
 	for id, c := range e.crashes {
-		if c.counts(now, duration) {
+		if c.isActive(now, duration) {
 			list = append(list, id)
 		}
 	}
@@ -52,7 +53,7 @@
 	return list
 }
 
-func (e *entry) latest() time.Time {
+func (e *entry) latestCrash() time.Time {
 	var latest time.Time
 	for c := range maps.Values(e.crashes) {
 		if c.at.After(latest) {
@@ -64,7 +65,7 @@
 
 func (e *entry) describe(now time.Time, f Fingerprint, duration time.Duration) Entry {
 	result := Entry{Fingerprint: f, Verdict: e.verdict(now, duration)}
-	for _, id := range e.active(now, duration) {
+	for _, id := range e.activeCrashes(now, duration) {
 		result.Upstreams = append(result.Upstreams, id.Upstream)
 		if until := e.crashes[id].at.Add(duration); until.After(result.Until) {
 			result.Until = until
@@ -74,7 +75,7 @@
 	return result
 }
 
-// String names the verdict in logs and tables.
+// String returns the name of the verdict.
 func (v Verdict) String() string {
 	switch v {
 	case Allowed:
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -1,9 +1,11 @@
-// Package quarantine recognizes requests that crash upstreams. Reports of crashes are merged in any order; repeated
-// and late reports do not change the result. A List is safe for concurrent use.
+// Package quarantine recognizes requests that crash upstreams. Nodes exchange reports of crashes. The order in which a
+// node merges them does not matter, and a repeated report changes nothing. A List is safe for concurrent use.
 //
-// A request that was in flight in a crash is suspect and runs only alone. A suspect that crashes an upstream while it
-// runs alone is quarantined. Being the only request in flight is no proof by itself: at the design scale an upstream
-// runs about one call at a time, so the loss of a rack would quarantine one innocent request for each upstream in it.
+// A request that was in flight when an upstream crashed is suspect. It runs only exclusively, that is, with no other
+// request in flight on the upstream. A suspect request that crashes an upstream while it runs exclusively is
+// quarantined: it is refused. A request that merely happened to be the only one in flight is not quarantined at once:
+// at the design scale an upstream runs about one call at a time, so the loss of a rack would otherwise quarantine one
+// harmless request for each upstream in it.
 package quarantine
 
 import (
@@ -24,7 +26,7 @@
 func FingerprintOf(route, method, path string, key string, body [32]byte) Fingerprint {
 	h := sha256.New()
 	for _, field := range []string{route, method, path, key} {
-		// The length keeps two requests apart whose fields join to the same text.
+		// The length distinguishes two requests whose concatenated fields are the same text.
 		h.Write(binary.AppendUvarint(nil, uint64(len(field))))
 		h.Write([]byte(field))
 	}
@@ -35,7 +37,7 @@
 // Compare orders fingerprints.
 func (f Fingerprint) Compare(other Fingerprint) int { return bytes.Compare(f[:], other[:]) }
 
-// ReportID identifies a report.
+// ReportID identifies a report: the node that published it, the node's incarnation and a number within the incarnation.
 type ReportID struct {
 	Upstream    string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
@@ -51,7 +53,7 @@
 	)
 }
 
-// Clearance withdraws the suspicion that certain crashes raised against a request.
+// Clearance makes certain crashes no longer count against a request.
 type Clearance struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
 	Crashes     []ReportID  `cbor:"2,keyasint"`
@@ -64,11 +66,11 @@
 	Sequence    uint64 `cbor:"3,keyasint"`
 	// Fingerprints lists the requests in flight when the upstream crashed.
 	Fingerprints []Fingerprint `cbor:"4,keyasint,omitempty"`
-	// Exclusive is set if the only request in flight was run alone because it was suspect.
+	// Exclusive is set if the only request in flight was run exclusively because it was suspect.
 	Exclusive bool `cbor:"5,keyasint,omitempty"`
 	// Cleared lists requests that ran successfully or that an operator cleared.
 	Cleared []Clearance `cbor:"6,keyasint,omitempty"`
-	// Age is the time since the crash, as far as the sender knows.
+	// Age is the time since the crash, by the clock of the sender.
 	Age time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
@@ -84,7 +86,7 @@
 const (
 	// Allowed requests run as usual.
 	Allowed Verdict = iota
-	// Exclusive requests run only on an upstream that runs nothing else, and are not retried.
+	// Exclusive requests are suspect: they run only on an upstream that runs nothing else, and are not retried.
 	Exclusive
 	// Refused requests are quarantined.
 	Refused
@@ -107,18 +109,19 @@
 	Incarnation uint64
 	// Duration is the time for which a crash counts against a request.
 	Duration time.Duration
-	// Retention is the time after a crash for which it is remembered, so that repeated reports do not revive it.
+	// Retention is the time for which a crash is kept on the list, so that a repeated report does not make an expired
+	// crash count again. It is at least Duration.
 	Retention time.Duration
-	// MaxEntries bounds the requests on the list; the oldest are dropped first.
+	// MaxEntries is the largest number of requests on the list. Those with the oldest crashes are dropped first.
 	MaxEntries int
 }
 
 // The defaults of Config.
 const (
 	DefaultDuration = 10 * time.Minute
-	// DefaultRetention is the longest partition that the design page plans for.
+	// DefaultRetention is the duration of the longest network partition that the design allows for.
 	DefaultRetention = time.Hour
-	// DefaultMaxEntries covers a crash of 80 upstreams with 120 requests in flight each.
+	// DefaultMaxEntries covers crashes of 80 upstreams with 120 requests in flight each.
 	DefaultMaxEntries = 10_000
 )
 
@@ -135,8 +138,8 @@
 	mu       sync.RWMutex
 	entries  map[Fingerprint]*entry
 	sequence uint64
-	// expired is the time of the last search for old crashes.
-	expired time.Time
+	// lastExpiry is when crashes past their retention were last removed.
+	lastExpiry time.Time
 }
 
 // New returns an empty list.
@@ -145,26 +148,27 @@
 }
 
 // Crashed records a crash of this node's own upstream and returns the report to publish. inFlight lists the requests
-// in flight; isolated is set if the only one was run alone.
-func (l *List) Crashed(now time.Time, inFlight []Fingerprint, isolated bool) Report {
+// in flight; exclusive is set if the only one was run exclusively.
+func (l *List) Crashed(now time.Time, inFlight []Fingerprint, exclusive bool) Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.newReport()
 	r.Fingerprints = slices.Clone(inFlight)
-	r.Exclusive = isolated && len(inFlight) == 1
+	r.Exclusive = exclusive && len(inFlight) == 1
 	l.merge(now, r)
 	return r
 }
 
-// Observe merges a report. It returns whether the report told anything new, in which case it should be passed on.
-// Reports must not be told apart by their identifier alone: one that Reports rebuilt may be less complete.
+// Observe merges a report. It returns whether the report contained anything new, in which case it should be passed on
+// to other nodes. Callers must not skip a report because they have seen its identifier: a report that Reports rebuilt
+// may be less complete than the original with the same identifier.
 func (l *List) Observe(now time.Time, r Report) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.merge(now, r)
 }
 
-// Verdict tells how a request may run.
+// Verdict returns how a request may run.
 func (l *List) Verdict(now time.Time, f Fingerprint) Verdict {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -175,8 +179,8 @@
 	return e.verdict(now, l.config.Duration)
 }
 
-// Succeeded clears the suspicion against a request that ran. A quarantined request is not cleared: a run that began
-// before it was quarantined proves nothing about later ones. The report must be published if the result is true.
+// Succeeded clears a suspect request that ran without a crash. A quarantined request is not cleared: a run that began
+// before the quarantine does not show that later runs are harmless. The report must be published if the result is true.
 func (l *List) Succeeded(now time.Time, f Fingerprint) (Report, bool) {
 	if l.Verdict(now, f) != Exclusive {
 		return Report{}, false
@@ -184,7 +188,7 @@
 	return l.Clear(now, f)
 }
 
-// Entries returns the suspect and quarantined requests, in order of fingerprint.
+// Entries returns the suspect and quarantined requests, sorted by fingerprint.
 func (l *List) Entries(now time.Time) []Entry {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -198,8 +202,8 @@
 	return list
 }
 
-// Clear removes requests from the list on the word of an operator; without arguments it removes all. The report must
-// be published if the result is true. Crashes that this node has not heard of yet are not cleared.
+// Clear removes requests from the list at the request of an operator; without fingerprints it removes all. The report
+// must be published if the result is true. Crashes whose reports have not reached this node yet are not cleared.
 func (l *List) Clear(now time.Time, fingerprints ...Fingerprint) (Report, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -212,7 +216,7 @@
 		if !ok || e.verdict(now, l.config.Duration) == Allowed {
 			continue
 		}
-		cleared = append(cleared, Clearance{Fingerprint: f, Crashes: e.active(now, l.config.Duration)})
+		cleared = append(cleared, Clearance{Fingerprint: f, Crashes: e.activeCrashes(now, l.config.Duration)})
 	}
 	if len(cleared) == 0 {
 		return Report{}, false
@@ -223,7 +227,7 @@
 	return r, true
 }
 
-// Reports returns the whole state as reports, for a node that just joined. Their Age is the time since each crash.
+// Reports returns the whole list as reports for a node that has just joined.
 func (l *List) Reports(now time.Time) []Report {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -249,11 +253,11 @@
 	return list
 }
 
-// add puts what is known about one request's part in a crash into the report.
+// add adds a request that was in flight in the crash, or its clearance, to the report.
 func (r *Report) add(f Fingerprint, id ReportID, c *crash) {
 	if c.reported {
 		r.Fingerprints = append(r.Fingerprints, f)
-		r.Exclusive = r.Exclusive || c.isolated
+		r.Exclusive = r.Exclusive || c.exclusive
 	}
 	if c.cleared {
 		r.Cleared = append(r.Cleared, Clearance{Fingerprint: f, Crashes: []ReportID{id}})
@@ -265,8 +269,8 @@
 	return Report{Upstream: l.config.ID, Incarnation: l.config.Incarnation, Sequence: l.sequence}
 }
 
-// merge takes a report over. All steps are idempotent and independent of their order: crashes and clearances are only
-// added, flags are only set, and the time of a crash only moves back.
+// merge adds the contents of a report. The result does not depend on the order and repetition of reports: crashes and
+// clearances are only added, flags are only set, and the time of a crash only moves back.
 func (l *List) merge(now time.Time, r Report) bool {
 	at := now.Add(-max(0, r.Age))
 	if now.Sub(at) >= l.config.Retention {
@@ -274,24 +278,24 @@
 	}
 	changed := false
 	for _, f := range r.Fingerprints {
-		c, added := l.crash(f, r.ID(), at)
+		c, added := l.findOrAddCrash(f, r.ID(), at)
 		changed = changed || added || !c.reported
 		c.reported = true
-		c.isolated = c.isolated || r.Exclusive
+		c.exclusive = c.exclusive || r.Exclusive
 	}
 	for _, clearance := range r.Cleared {
 		for _, id := range clearance.Crashes {
-			c, added := l.crash(clearance.Fingerprint, id, at)
+			c, added := l.findOrAddCrash(clearance.Fingerprint, id, at)
 			changed = changed || added || !c.cleared
 			c.cleared = true
 		}
 	}
-	l.expire(now)
-	l.limit()
+	l.expireCrashes(now)
+	l.evictOldest()
 	return changed
 }
 
-func (l *List) crash(f Fingerprint, id ReportID, at time.Time) (*crash, bool) {
+func (l *List) findOrAddCrash(f Fingerprint, id ReportID, at time.Time) (*crash, bool) {
 	e, ok := l.entries[f]
 	if !ok {
 		e = &entry{crashes: make(map[ReportID]*crash)}
@@ -308,15 +312,15 @@
 	return c, !ok
 }
 
-// expireInterval bounds how often the whole list is searched for old crashes.
+// expireInterval is the shortest time between two searches of the whole list for crashes past their retention.
 const expireInterval = time.Minute
 
-// expire forgets crashes that are older than Remember.
-func (l *List) expire(now time.Time) {
-	if now.Sub(l.expired) < expireInterval {
+// expireCrashes removes crashes past their retention, at most once per expireInterval.
+func (l *List) expireCrashes(now time.Time) {
+	if now.Sub(l.lastExpiry) < expireInterval {
 		return
 	}
-	l.expired = now
+	l.lastExpiry = now
 	for f, e := range l.entries {
 		for id, c := range e.crashes {
 			if now.Sub(c.at) >= l.config.Retention {
@@ -329,14 +333,14 @@
 	}
 }
 
-// limit drops the requests whose latest crash is the oldest.
-func (l *List) limit() {
+// evictOldest removes the requests whose latest crash is the oldest until at most MaxEntries are left.
+func (l *List) evictOldest() {
 	excess := len(l.entries) - l.config.MaxEntries
 	if excess <= 0 {
 		return
 	}
 	list := l.sorted()
-	slices.SortStableFunc(list, func(a, b Fingerprint) int { return l.entries[a].latest().Compare(l.entries[b].latest()) })
+	slices.SortStableFunc(list, func(a, b Fingerprint) int { return l.entries[a].latestCrash().Compare(l.entries[b].latestCrash()) })
 	for _, f := range list[:excess] {
 		delete(l.entries, f)
 	}
