--- a/control/configure.go
+++ b/control/configure.go
@@ -19,8 +19,8 @@
 	readPause = 20 * time.Millisecond
 )
 
-// Put is a bundle that comes into force if the version it builds on is still the latest.
-type Put struct {
+// PutRequest is a bundle that comes into force if the version it builds on is still the latest.
+type PutRequest struct {
 	Version uint64
 	// Base is the version that must be the latest; 0 means that none is approved yet.
 	Base     uint64
@@ -30,7 +30,7 @@
 
 // Put stages and approves a bundle in one step. It is for operators that the keyring trusts without a signature. The
 // same put sent again has the result of the first one.
-func (m *Member) Put(ctx context.Context, put Put) (operator.Decision, error) {
+func (m *Member) Put(ctx context.Context, put PutRequest) (operator.Decision, error) {
 	bundle.Canonicalize(put.Bundle)
 	update, err := bundle.Complete(put.Bundle)
 	if err != nil {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -121,7 +121,7 @@
 		claim := ledger.Claim{Key: "k", Route: "promote", Executor: "e", Incarnation: 1, Attempt: 1}
 		Expect(g.commit(pool, addresses, ledger.Command{Claim: &claim}).Status).To(Equal(ledger.Granted))
 		g.commit(pool, addresses, ledger.Command{Record: &ledger.Record{
-			Key: "k", Executor: "e", Incarnation: 1, Attempt: 1, Answer: ledger.Answer{Status: 201, Body: []byte("dan 3")},
+			Key: "k", Executor: "e", Incarnation: 1, Attempt: 1, Response: ledger.Response{Status: 201, Body: []byte("dan 3")},
 		}})
 		g.kill(followers...)
 		g.start("c", "b", "a")
@@ -133,7 +133,7 @@
 		other.Attempt = 2
 		kept := g.commit(pool, addresses, ledger.Command{Claim: &other})
 		Expect(kept.Status).To(Equal(ledger.Done))
-		Expect(string(kept.Answer.Body)).To(Equal("dan 3"))
+		Expect(string(kept.Response.Body)).To(Equal("dan 3"))
 	})
 
 	// Guards against a member that is cut off and goes on to serve its state as current, or accepts approvals.
--- a/control/member.go
+++ b/control/member.go
@@ -44,10 +44,10 @@
 	// Founders lists the members of a new group, this one included. It is used only while the data folder is new. A
 	// member that is added later has none.
 	Founders []Founder
-	// Registry and Ledgers are the folders of the logs. All members have the same number of ledger groups.
-	Registry disk.FS
-	Ledgers  []disk.FS
-	Keys     *bundle.Keyring
+	// RegistryFolder and Ledgers are the folders of the logs. All members have the same number of ledger groups.
+	RegistryFolder disk.FS
+	LedgerFolders  []disk.FS
+	Keys           *bundle.Keyring
 	// Voters is the number of members that vote when nothing has failed. If it is set, the leader replaces members that
 	// lost their disk or are gone by processes that ask to join; 0 leaves that to operators.
 	Voters int
@@ -164,8 +164,8 @@
 	registryReplica := m.newReplica(registryGroup, m.registry, m.pool)
 	registryReplica.applied = m.publishSource
 	registryReplica.membershipChanged = m.publishMembers
-	folders := []disk.FS{m.options.Registry}
-	for i, folder := range m.options.Ledgers {
+	folders := []disk.FS{m.options.RegistryFolder}
+	for i, folder := range m.options.LedgerFolders {
 		machine := newLedgerMachine(m.options.Ledger)
 		m.ledgers = append(m.ledgers, machine)
 		m.newReplica(uint32(i+1), machine, m.ledgerPool)
@@ -309,7 +309,7 @@
 // publishSource hands the registry's state to the distribution tree.
 func (m *Member) publishSource(now time.Time) {
 	state := m.registry.registry.State()
-	source := relay.Source{Latest: state.Latest, Stopped: state.Stopped, Held: state.Held}
+	source := relay.Source{Latest: state.Latest, Stopped: state.Stopped, Held: state.StoredBundles}
 	m.peer.SetSource(now, source, m.registry.registry.Store())
 }
 
--- a/control/staff.go
+++ b/control/staff.go
@@ -144,7 +144,7 @@
 // the member stops; a new start joins as a candidate with an empty folder.
 func (m *Member) discard() {
 	m.logger.Warn().Str("member", m.ID()).Msg("the group has replaced this member; its state is discarded")
-	if err := removeAll(m.options.Registry); err != nil {
+	if err := removeAll(m.options.RegistryFolder); err != nil {
 		m.logger.Error().Err(err).Msg("cannot discard the state")
 	}
 	close(m.removed)
--- a/control/staff_test.go
+++ b/control/staff_test.go
@@ -61,7 +61,7 @@
 	}
 	m, err := control.New(control.Options{
 		Zone: "a", Mesh: listenAt(c.addresses[i]), Admin: listenAt("127.0.0.1:0"), Founders: founders,
-		Registry: disk.NewFake(rand.New(rand.NewSource(int64(i)))), Keys: bundle.NewKeyring(nil).Trust("ops"),
+		RegistryFolder: disk.NewFake(rand.New(rand.NewSource(int64(i)))), Keys: bundle.NewKeyring(nil).Trust("ops"),
 		Voters: 5, Seeds: func() []string { return c.addresses[:3] },
 		ElectionTimeout: 300 * time.Millisecond, HeartbeatInterval: 50 * time.Millisecond,
 		Logger: zerolog.New(GinkgoWriter),
@@ -82,7 +82,7 @@
 	EventuallyWithOffset(1, func() error {
 		for _, m := range c.members {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			_, err := m.Put(ctx, control.Put{Version: version, Base: base, Operator: "ops", Bundle: &bundle.Bundle{
+			_, err := m.Put(ctx, control.PutRequest{Version: version, Base: base, Operator: "ops", Bundle: &bundle.Bundle{
 				Services: []bundle.Service{{Name: "desk", QueueLimit: int(version)}},
 			}})
 			cancel()
--- a/coordination/execution/execution.go
+++ b/coordination/execution/execution.go
@@ -69,7 +69,7 @@
 type Reply struct {
 	Outcome Outcome
 	Reason  Reason
-	Answer  *ledger.Answer
+	Answer  *ledger.Response
 }
 
 // FreeSlot gives the admission slot back. It is returned exactly once for each admitted call.
@@ -109,7 +109,7 @@
 	// DefaultReleaseFor covers an election of about 1 s many times.
 	DefaultReleaseFor = time.Minute
 	// DefaultMaxAnswerBytes is the limit of the ledger.
-	DefaultMaxAnswerBytes = ledger.DefaultMaxAnswerBytes
+	DefaultMaxAnswerBytes = ledger.DefaultMaxResponseBytes
 )
 
 // maxBackoffDoublings bounds the growth of the intervals.
@@ -152,7 +152,7 @@
 	unrefused int
 	// held is the reply that waits until the claim is given back, so that a retry finds the key free.
 	held   *Reply
-	record ledger.Answer
+	record ledger.Response
 	// resendAt, resends and giveUpAt control the messages to the ledger.
 	resendAt time.Time
 	resends  int
@@ -188,7 +188,7 @@
 		return append(m.freeSlot(), m.sendRelease(), m.sendQuery())
 	case ledger.Done:
 		m.void = true
-		return m.finish(now, Reply{Outcome: OutcomeDone, Answer: r.Answer})
+		return m.finish(now, Reply{Outcome: OutcomeDone, Answer: r.Response})
 	case ledger.KeyReused:
 		m.void = true
 		return m.finish(now, notRun(ReasonKeyReused))
@@ -232,7 +232,7 @@
 	switch r.Status {
 	case ledger.Done:
 		m.void = true
-		return m.finish(now, Reply{Outcome: OutcomeDone, Answer: r.Answer})
+		return m.finish(now, Reply{Outcome: OutcomeDone, Answer: r.Response})
 	case ledger.Released, ledger.Absent:
 		return m.finish(now, notRun(ReasonReleased))
 	case ledger.Claimed:
@@ -263,7 +263,7 @@
 }
 
 // UpstreamAnswer delivers the complete response of the upstream.
-func (m *Machine) UpstreamAnswer(now time.Time, a ledger.Answer) []Output {
+func (m *Machine) UpstreamAnswer(now time.Time, a ledger.Response) []Output {
 	ok := invariant.Check(m.written, invariant.FalseNotRun, "an answer arrived for a call that was not written",
 		map[string]any{"key": m.config.Claim.Key})
 	if !ok || m.state != running {
@@ -271,7 +271,7 @@
 	}
 	m.record = a
 	if a.Dropped || a.Size() > m.config.MaxAnswerBytes {
-		m.record = ledger.Answer{Status: a.Status, Dropped: true}
+		m.record = ledger.Response{Status: a.Status, Dropped: true}
 	}
 	m.enter(recording, now)
 	outputs := m.reply(Reply{Outcome: OutcomeDone, Answer: &a})
--- a/coordination/execution/execution_test.go
+++ b/coordination/execution/execution_test.go
@@ -64,7 +64,7 @@
 		}
 	case c.Record != nil:
 		if s.status == ledger.Claimed && s.holder == by(c.Record.Executor, c.Record.Incarnation, c.Record.Attempt) {
-			s.status, s.answer = ledger.Done, string(c.Record.Answer.Body)
+			s.status, s.answer = ledger.Done, string(c.Record.Response.Body)
 		}
 	case c.Release != nil && s.status != ledger.Done:
 		holder := by(c.Release.Executor, c.Release.Incarnation, c.Release.Attempt)
@@ -99,7 +99,7 @@
 		r := output.(ledger.Result)
 		ok := r.Status == unknownStatus || r.Status == status
 		if ok && r.Status == ledger.Done {
-			ok = string(r.Answer.Body) == next.answer
+			ok = string(r.Response.Body) == next.answer
 		}
 		return ok, next
 	},
--- a/coordination/execution/machine_test.go
+++ b/coordination/execution/machine_test.go
@@ -31,9 +31,9 @@
 		Expect(m.Written(at(2))).To(BeTrue())
 		Expect(m.CallerGone(at(3))).To(BeEmpty())
 		record := execution.SendRecord{Record: ledger.Record{
-			Key: "k", Executor: "a", Incarnation: 2, Attempt: 7, Answer: ledger.Answer{Status: 201, Dropped: true},
+			Key: "k", Executor: "a", Incarnation: 2, Attempt: 7, Response: ledger.Response{Status: 201, Dropped: true},
 		}}
-		tooLarge := ledger.Answer{Status: 201, Body: make([]byte, 11)}
+		tooLarge := ledger.Response{Status: 201, Body: make([]byte, 11)}
 		Expect(m.UpstreamAnswer(at(5000), tooLarge)).To(HaveExactElements(execution.FreeSlot{}, record))
 		wake, ok := m.Wake()
 		Expect(ok).To(BeTrue())
@@ -83,8 +83,8 @@
 	DescribeTable("answers from the ledger without running the call", func(r ledger.Result, expected execution.Reply) {
 		Expect(m.ClaimResult(at(1), r)).To(ContainElements(expected, execution.FreeSlot{}))
 	},
-		Entry("done", ledger.Result{Status: ledger.Done, Answer: &ledger.Answer{Status: 201}},
-			execution.Reply{Outcome: execution.OutcomeDone, Answer: &ledger.Answer{Status: 201}}),
+		Entry("done", ledger.Result{Status: ledger.Done, Response: &ledger.Response{Status: 201}},
+			execution.Reply{Outcome: execution.OutcomeDone, Answer: &ledger.Response{Status: 201}}),
 		Entry("key reused", ledger.Result{Status: ledger.KeyReused}, reply(execution.OutcomeNotRun, execution.ReasonKeyReused)),
 		Entry("key expired", ledger.Result{Status: ledger.Expired}, reply(execution.OutcomeNotRun, execution.ReasonKeyExpired)),
 		Entry("ledger full", ledger.Result{Status: ledger.Full}, reply(execution.OutcomeNotRun, execution.ReasonLedgerFull)),
--- a/coordination/execution/simulation_test.go
+++ b/coordination/execution/simulation_test.go
@@ -212,7 +212,7 @@
 		s.after(delay, func() { s.input(c, failed) })
 	default:
 		s.ran(c)
-		answer := ledger.Answer{Status: 201, Body: []byte(fmt.Sprint(c.claim.Executor, c.claim.Incarnation, c.claim.Attempt))}
+		answer := ledger.Response{Status: 201, Body: []byte(fmt.Sprint(c.claim.Executor, c.claim.Incarnation, c.claim.Attempt))}
 		s.after(delay, func() {
 			s.input(c, func() []execution.Output { return c.UpstreamAnswer(now(), answer) })
 		})
--- a/coordination/execution/steps.go
+++ b/coordination/execution/steps.go
@@ -110,7 +110,7 @@
 func (m *Machine) sendRecord() Output {
 	c := m.config.Claim
 	return SendRecord{Record: ledger.Record{
-		Key: c.Key, Executor: c.Executor, Incarnation: c.Incarnation, Attempt: c.Attempt, Answer: m.record,
+		Key: c.Key, Executor: c.Executor, Incarnation: c.Incarnation, Attempt: c.Attempt, Response: m.record,
 	}}
 }
 
--- a/coordination/raft/cluster_test.go
+++ b/coordination/raft/cluster_test.go
@@ -86,7 +86,7 @@
 
 func (c *cluster) add(id raft.MemberID, start raft.Membership) {
 	m := &member{id: id, disk: disk.NewFake(c.rng), rate: 0.995 + c.rng.Float64()/100, start: start}
-	m.disk.SetTear(true)
+	m.disk.SetTornWrites(true)
 	c.members = append(c.members, m)
 	c.restart(m)
 }
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -119,12 +119,12 @@
 	}
 	options := control.Options{
 		Instance: loaded.Instance, Zone: loaded.Zone, Advertise: loaded.Advertise, AdvertiseAdmin: loaded.AdvertiseAdmin,
-		Registry: registryFolder, Keys: keys, Identity: identity, Logger: logger,
+		RegistryFolder: registryFolder, Keys: keys, Identity: identity, Logger: logger,
 		ElectionTimeout:   loaded.Limits.ElectionTimeout.Std(),
 		HeartbeatInterval: loaded.Limits.HeartbeatInterval.Std(),
 		MaxAppendBytes:    loaded.Limits.MaxAppendBytes,
 		SnapshotEntries:   uint64(loaded.Limits.SnapshotEntries),
-		Ledger:            ledger.Config{MaxTotalAnswerBytes: loaded.Limits.MaxLedgerBytes},
+		Ledger:            ledger.Config{MaxTotalResponseBytes: loaded.Limits.MaxLedgerBytes},
 		Relay: relay.Config{
 			ZoneFollowers: loaded.Limits.DirectFollowers, JoinsPerSecond: float64(loaded.Limits.JoinsPerSecond),
 		},
@@ -141,7 +141,7 @@
 		if err != nil {
 			return control.Options{}, errors.Mark(err, errUsage)
 		}
-		options.Ledgers = append(options.Ledgers, folder)
+		options.LedgerFolders = append(options.LedgerFolders, folder)
 	}
 	return options, nil
 }
--- a/local/processes.go
+++ b/local/processes.go
@@ -69,7 +69,7 @@
 	}
 	member, err := control.New(control.Options{
 		Instance: id, Zone: slot.spec.Zone, Mesh: listeners[0], Admin: listeners[1], Founders: founders,
-		Registry: registryFolder, Ledgers: []disk.FS{ledgerFolder}, Keys: d.keyring,
+		RegistryFolder: registryFolder, LedgerFolders: []disk.FS{ledgerFolder}, Keys: d.keyring,
 		Dialer:       d.dialer(slot.spec.Zone, id, shape.KindControl),
 		LedgerDialer: d.dialer(slot.spec.Zone, id, kindLedger),
 		Logger:       d.options.Logger.With().Str("process", id).Logger(), Relay: d.options.Relay,
--- a/node/answer.go
+++ b/node/answer.go
@@ -99,7 +99,7 @@
 	case ledger.Absent, ledger.Released:
 		return refusal(reason)
 	case ledger.Done:
-		return answerReply(result.Answer)
+		return answerReply(result.Response)
 	case ledger.KeyReused:
 		return refusal(protocol.ReasonKeyReused)
 	case ledger.Expired:
@@ -305,7 +305,7 @@
 	case err != nil:
 		n.writeVerdict(w, protocol.OutcomeUnknown, protocol.ReasonLedger, http.StatusServiceUnavailable, protocol.LoadReport{})
 	case result.Status == ledger.Done:
-		writeRecorded(w, answerReply(result.Answer))
+		writeRecorded(w, answerReply(result.Response))
 	case result.Status == ledger.Released:
 		n.writeVerdict(w, protocol.OutcomeNotRun, protocol.ReasonNone, http.StatusConflict, protocol.LoadReport{})
 	default:
--- a/node/once.go
+++ b/node/once.go
@@ -299,7 +299,7 @@
 		return c.machine.UpstreamFailed
 	}
 	c.executor.succeeded(c.head)
-	whole := ledger.Answer{
+	whole := ledger.Response{
 		Status: answer.Response.StatusCode, Header: web.CopyHeader(answer.Response.Header), Body: body,
 	}
 	return func(now time.Time) []execution.Output { return c.machine.UpstreamAnswer(now, whole) }
@@ -348,7 +348,7 @@
 }
 
 // answerReply passes on a recorded answer.
-func answerReply(answer *ledger.Answer) *reply {
+func answerReply(answer *ledger.Response) *reply {
 	if answer.Dropped {
 		return &reply{head: protocol.ReplyHead{
 			Outcome: protocol.OutcomeDone, Reason: protocol.ReasonAnswerDropped, Status: http.StatusGone,
--- a/protocol/operator/errors.go
+++ b/protocol/operator/errors.go
@@ -74,7 +74,7 @@
 	registry.CodeWithdrawn:      ErrWithdrawn,
 	registry.CodeNotLatest:      ErrNotLatest,
 	registry.CodeUnknownVersion: ErrUnknownVersion,
-	registry.CodeNotHeld:        ErrNotStaged,
+	registry.CodeMissingParts:   ErrNotStaged,
 	registry.CodeInvalid:        ErrInvalidBundle,
 	registry.CodeUnauthorized:   ErrUnauthorized,
 	registry.CodeMalformed:      ErrBadRequest,
--- a/state/disk/disk_test.go
+++ b/state/disk/disk_test.go
@@ -100,7 +100,7 @@
 				written[i] = 'x'
 			}
 			write(file, string(written))
-			fake.SetTear(true)
+			fake.SetTornWrites(true)
 			fake.Crash()
 			after := content(fake, "a")
 			seen["short"] = seen["short"] || len(after) > 100 && len(after) < 2100
--- a/state/disk/fake.go
+++ b/state/disk/fake.go
@@ -53,9 +53,9 @@
 	return &Fake{rng: rng, names: map[string]*fakeFile{}, durable: map[string]*fakeFile{}}
 }
 
-// SetTear selects what Crash keeps of unsynced changes: nothing, or a random prefix of the changes of each file and of
+// SetTornWrites selects what Crash keeps of unsynced changes: nothing, or a random prefix of the changes of each file and of
 // the folder. The last kept write is torn: a prefix of it remains, in which sectors may be zero.
-func (f *Fake) SetTear(on bool) { f.tear = on }
+func (f *Fake) SetTornWrites(on bool) { f.tear = on }
 
 // FailWrites makes the next writes fail. A failed write may leave a prefix of its data.
 func (f *Fake) FailWrites(count int) { f.failWrites = count }
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// Crash loses unsynced writes and unsynced folder changes, except for what SetTear keeps. Files that are open become
+// Crash loses unsynced writes and unsynced folder changes, except for what SetTornWrites keeps. Files that are open become
 // unusable.
 func (f *Fake) Crash() {
 	f.generation++
--- a/state/ledger/answers.go
+++ b/state/ledger/answers.go
@@ -5,24 +5,24 @@
 	key     keyHash
 	untilMs int64
 	size    int
-	answer  *Answer
+	answer  *Response
 }
 
 // answers holds the answers in the order in which they were recorded, which is the order in which they expire.
 type answers struct {
-	byKey map[keyHash]*Answer
+	byKey map[keyHash]*Response
 	queue []storedAnswer
 	total int // bytes
 }
 
-func newAnswers() answers { return answers{byKey: make(map[keyHash]*Answer)} }
+func newAnswers() answers { return answers{byKey: make(map[keyHash]*Response)} }
 
-func (a *answers) get(key keyHash) (*Answer, bool) {
+func (a *answers) get(key keyHash) (*Response, bool) {
 	answer, ok := a.byKey[key]
 	return answer, ok
 }
 
-func (a *answers) add(key keyHash, answer Answer, untilMs int64) {
+func (a *answers) add(key keyHash, answer Response, untilMs int64) {
 	a.byKey[key] = &answer
 	a.queue = append(a.queue, storedAnswer{key: key, untilMs: untilMs, size: answer.Size(), answer: &answer})
 	a.total += answer.Size()
@@ -42,7 +42,7 @@
 }
 
 // Size returns the bytes that an answer takes, without the overhead of its containers.
-func (a Answer) Size() int {
+func (a Response) Size() int {
 	size := len(a.Body)
 	for name, values := range a.Header {
 		size += len(name)
--- a/state/ledger/ledger.go
+++ b/state/ledger/ledger.go
@@ -10,8 +10,8 @@
 	"sapphiregate.example/sapphiregate/invariant"
 )
 
-// Answer is the response of an irreversible call.
-type Answer struct {
+// Response is the response of an irreversible call.
+type Response struct {
 	Status int                 `cbor:"1,keyasint"`
 	Header map[string][]string `cbor:"2,keyasint,omitempty"`
 	Body   []byte              `cbor:"3,keyasint,omitempty"`
@@ -32,11 +32,11 @@
 
 // Record stores the answer of a call. It is valid only from the holder of the claim.
 type Record struct {
-	Key         string `cbor:"1,keyasint"`
-	Executor    string `cbor:"2,keyasint"`
-	Incarnation uint64 `cbor:"3,keyasint"`
-	Attempt     uint64 `cbor:"4,keyasint"`
-	Answer      Answer `cbor:"5,keyasint"`
+	Key         string   `cbor:"1,keyasint"`
+	Executor    string   `cbor:"2,keyasint"`
+	Incarnation uint64   `cbor:"3,keyasint"`
+	Attempt     uint64   `cbor:"4,keyasint"`
+	Response    Response `cbor:"5,keyasint"`
 }
 
 // Release gives a claim back: the call was proved not run. It is valid only from the holder of the claim. It also
@@ -94,40 +94,40 @@
 type Result struct {
 	Status Status `cbor:"1,keyasint"`
 	// Holder is the current or last holder of the claim. Its Route and RequestDigest are not filled in.
-	Holder Claim   `cbor:"2,keyasint,omitzero"`
-	Answer *Answer `cbor:"3,keyasint,omitempty"`
+	Holder   Claim     `cbor:"2,keyasint,omitzero"`
+	Response *Response `cbor:"3,keyasint,omitempty"`
 }
 
 // Config holds the limits of a Ledger. All replicas must use the same values. Zero fields take the defaults.
 type Config struct {
 	// KeyRetention is the time for which keys are kept.
 	KeyRetention time.Duration
-	// AnswerRetention is the time for which answers and released claims are kept.
-	AnswerRetention time.Duration
-	// MaxAnswerBytes bounds one answer; larger ones are stored as dropped.
-	MaxAnswerBytes int
-	// MaxTotalAnswerBytes bounds all answers; the oldest are dropped first.
-	MaxTotalAnswerBytes int
+	// ResponseRetention is the time for which answers and released claims are kept.
+	ResponseRetention time.Duration
+	// MaxResponseBytes bounds one answer; larger ones are stored as dropped.
+	MaxResponseBytes int
+	// MaxTotalResponseBytes bounds all answers; the oldest are dropped first.
+	MaxTotalResponseBytes int
 	// MaxKeys bounds the keys; further claims get Full.
 	MaxKeys int
 }
 
 // The defaults of Config.
 const (
-	DefaultKeyRetention    = 7 * 24 * time.Hour
-	DefaultAnswerRetention = time.Hour
-	DefaultMaxAnswerBytes  = 64 << 10
-	// DefaultMaxTotalAnswerBytes holds 1,000 answers of the greatest size.
-	DefaultMaxTotalAnswerBytes = 64 << 20
+	DefaultKeyRetention      = 7 * 24 * time.Hour
+	DefaultResponseRetention = time.Hour
+	DefaultMaxResponseBytes  = 64 << 10
+	// DefaultMaxTotalResponseBytes holds 1,000 answers of the greatest size.
+	DefaultMaxTotalResponseBytes = 64 << 20
 	// DefaultMaxKeys takes 760 MB at 190 bytes a key and serves 6.6 irreversible calls/s over 7 days.
 	DefaultMaxKeys = 4_000_000
 )
 
 func (c Config) withDefaults() Config {
 	c.KeyRetention = cmp.Or(c.KeyRetention, DefaultKeyRetention)
-	c.AnswerRetention = cmp.Or(c.AnswerRetention, DefaultAnswerRetention)
-	c.MaxAnswerBytes = cmp.Or(c.MaxAnswerBytes, DefaultMaxAnswerBytes)
-	c.MaxTotalAnswerBytes = cmp.Or(c.MaxTotalAnswerBytes, DefaultMaxTotalAnswerBytes)
+	c.ResponseRetention = cmp.Or(c.ResponseRetention, DefaultResponseRetention)
+	c.MaxResponseBytes = cmp.Or(c.MaxResponseBytes, DefaultMaxResponseBytes)
+	c.MaxTotalResponseBytes = cmp.Or(c.MaxTotalResponseBytes, DefaultMaxTotalResponseBytes)
 	c.MaxKeys = cmp.Or(c.MaxKeys, DefaultMaxKeys)
 	return c
 }
@@ -189,7 +189,7 @@
 func (l *Ledger) advance(nowMs int64) {
 	l.nowMs = max(l.nowMs, nowMs)
 	l.keys.expire(l.nowMs)
-	l.answers.expire(l.nowMs, l.config.MaxTotalAnswerBytes)
+	l.answers.expire(l.nowMs, l.config.MaxTotalResponseBytes)
 }
 
 func (l *Ledger) claim(c Claim) Result {
@@ -232,20 +232,20 @@
 	}
 	if e.status == Claimed && e.holder == by {
 		e.status = Done
-		e.answerStatus = uint16(r.Answer.Status)
+		e.answerStatus = uint16(r.Response.Status)
 		l.store(key, e)
-		l.keep(key, r.Answer)
+		l.keep(key, r.Response)
 	}
 	return l.result(e.status, r.Key, e)
 }
 
 // keep stores an answer unless it is too large.
-func (l *Ledger) keep(key keyHash, a Answer) {
-	if a.Dropped || a.Size() > l.config.MaxAnswerBytes {
+func (l *Ledger) keep(key keyHash, a Response) {
+	if a.Dropped || a.Size() > l.config.MaxResponseBytes {
 		return
 	}
-	l.answers.add(key, a, l.nowMs+l.config.AnswerRetention.Milliseconds())
-	l.answers.expire(l.nowMs, l.config.MaxTotalAnswerBytes)
+	l.answers.add(key, a, l.nowMs+l.config.ResponseRetention.Milliseconds())
+	l.answers.expire(l.nowMs, l.config.MaxTotalResponseBytes)
 }
 
 // release ends the holder's claim. Whether or not it holds one, copies of its claim that arrive later are void: nothing
@@ -253,7 +253,7 @@
 func (l *Ledger) release(r Release) Result {
 	key, by := hashOf(r.Key), l.holder(r.Executor, r.Incarnation, r.Attempt)
 	e, held := l.take(key, l.nowMs)
-	releasedUntil := l.nowMs + l.config.AnswerRetention.Milliseconds()
+	releasedUntil := l.nowMs + l.config.ResponseRetention.Milliseconds()
 	switch {
 	case !held && len(l.entries) >= l.config.MaxKeys:
 		return Result{Status: Absent}
@@ -308,9 +308,9 @@
 		return r
 	}
 	if a, ok := l.answers.get(hashOf(key)); ok {
-		r.Answer = a
+		r.Response = a
 		return r
 	}
-	r.Answer = &Answer{Status: int(e.answerStatus), Dropped: true}
+	r.Response = &Response{Status: int(e.answerStatus), Dropped: true}
 	return r
 }
--- a/state/ledger/ledger_test.go
+++ b/state/ledger/ledger_test.go
@@ -49,9 +49,9 @@
 	}}
 }
 
-func (a attempt) record(nowMs int64, answer ledger.Answer) ledger.Command {
+func (a attempt) record(nowMs int64, answer ledger.Response) ledger.Command {
 	return ledger.Command{NowMs: nowMs, Record: &ledger.Record{
-		Key: a.key, Executor: a.executor, Incarnation: a.incarnation, Attempt: a.number, Answer: answer,
+		Key: a.key, Executor: a.executor, Incarnation: a.incarnation, Attempt: a.number, Response: answer,
 	}}
 }
 
@@ -66,10 +66,10 @@
 }
 
 func describe(r ledger.Result) string {
-	if r.Answer == nil {
+	if r.Response == nil {
 		return fmt.Sprint(r.Status, r.Holder)
 	}
-	return fmt.Sprint(r.Status, r.Holder, *r.Answer)
+	return fmt.Sprint(r.Status, r.Holder, *r.Response)
 }
 
 func keyAt(ms int64) string {
@@ -81,7 +81,7 @@
 
 var (
 	first  = attempt{"k", "a", 1, 1}
-	answer = ledger.Answer{Status: 201, Header: map[string][]string{"Location": {"/p/1"}}, Body: []byte("promoted")}
+	answer = ledger.Response{Status: 201, Header: map[string][]string{"Location": {"/p/1"}}, Body: []byte("promoted")}
 )
 
 var _ = Describe("Ledger", func() {
@@ -105,12 +105,12 @@
 	It("keeps the first answer and gives it to every resend", func() {
 		apply(first.claim(startMs))
 		Expect(apply(first.record(startMs, answer))).To(Equal(ledger.Done))
-		Expect(apply(first.record(startMs, ledger.Answer{Status: 500}))).To(Equal(ledger.Done))
+		Expect(apply(first.record(startMs, ledger.Response{Status: 500}))).To(Equal(ledger.Done))
 		Expect(apply(first.release(startMs))).To(Equal(ledger.Done))
 		for _, c := range []ledger.Command{first.claim(startMs), attempt{"k", "b", 1, 1}.claim(startMs), query("k", startMs)} {
 			result := l.Apply(c)
 			Expect(result.Status).To(Equal(ledger.Done))
-			Expect(*result.Answer).To(Equal(answer))
+			Expect(*result.Response).To(Equal(answer))
 		}
 	})
 
@@ -152,10 +152,10 @@
 	It("drops answers after 1 h and keys after 7 days, and never goes back in time", func() {
 		apply(first.claim(startMs))
 		apply(first.record(startMs, answer))
-		Expect(l.Apply(query("k", startMs+hourMs-1)).Answer.Dropped).To(BeFalse())
+		Expect(l.Apply(query("k", startMs+hourMs-1)).Response.Dropped).To(BeFalse())
 		result := l.Apply(query("k", startMs+hourMs))
 		Expect(result.Status).To(Equal(ledger.Done))
-		Expect(*result.Answer).To(Equal(ledger.Answer{Status: 201, Dropped: true}))
+		Expect(*result.Response).To(Equal(ledger.Response{Status: 201, Dropped: true}))
 		Expect(apply(query("k", startMs+7*dayMs-1))).To(Equal(ledger.Done))
 		Expect(apply(query("k", startMs+7*dayMs))).To(Equal(ledger.Absent))
 		Expect(apply(query("k", startMs))).To(Equal(ledger.Absent))
@@ -179,16 +179,16 @@
 	})
 
 	It("bounds keys and answers", func() {
-		l = ledger.New(ledger.Config{MaxKeys: 3, MaxAnswerBytes: 100, MaxTotalAnswerBytes: 150})
+		l = ledger.New(ledger.Config{MaxKeys: 3, MaxResponseBytes: 100, MaxTotalResponseBytes: 150})
 		for i, size := range []int{101, 90, 90} {
 			a := attempt{fmt.Sprint(i), "a", 1, uint64(i)}
 			Expect(apply(a.claim(startMs))).To(Equal(ledger.Granted))
-			Expect(apply(a.record(startMs, ledger.Answer{Body: make([]byte, size)}))).To(Equal(ledger.Done))
+			Expect(apply(a.record(startMs, ledger.Response{Body: make([]byte, size)}))).To(Equal(ledger.Done))
 		}
 		Expect(apply(attempt{"more", "a", 1, 9}.claim(startMs))).To(Equal(ledger.Full))
-		Expect(l.Stats()).To(Equal(ledger.Stats{NowMs: startMs, Done: 3, Answers: 1, AnswerBytes: 90, Executors: 1}))
+		Expect(l.Stats()).To(Equal(ledger.Stats{NowMs: startMs, Done: 3, Responses: 1, ResponseBytes: 90, Executors: 1}))
 		for key, dropped := range map[string]bool{"0": true, "1": true, "2": false} {
-			Expect(l.Apply(query(key, startMs)).Answer.Dropped).To(Equal(dropped), key)
+			Expect(l.Apply(query(key, startMs)).Response.Dropped).To(Equal(dropped), key)
 		}
 	})
 
@@ -202,7 +202,7 @@
 
 	It("gives a replica restored from a snapshot the same results and the same snapshots", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			config := ledger.Config{KeyRetention: 2 * time.Hour, MaxKeys: 4, MaxTotalAnswerBytes: 20}
+			config := ledger.Config{KeyRetention: 2 * time.Hour, MaxKeys: 4, MaxTotalResponseBytes: 20}
 			original, replica := ledger.New(config), ledger.New(config)
 			for range rapid.IntRange(1, 60).Draw(t, "commands") {
 				now := startMs + rapid.Int64Range(0, 10*hourMs).Draw(t, "now")
@@ -213,7 +213,7 @@
 				}
 				body := make([]byte, rapid.IntRange(0, 12).Draw(t, "size"))
 				c := rapid.SampledFrom([]ledger.Command{
-					a.claim(now), a.record(now, ledger.Answer{Body: body}), a.release(now), query(a.key, now),
+					a.claim(now), a.record(now, ledger.Response{Body: body}), a.release(now), query(a.key, now),
 				}).Draw(t, "command")
 				if got, want := describe(replica.Apply(c)), describe(original.Apply(c)); got != want {
 					t.Fatalf("replica %s, original %s", got, want)
--- a/state/ledger/snapshot.go
+++ b/state/ledger/snapshot.go
@@ -45,7 +45,7 @@
 	_       struct{} `cbor:",toarray"`
 	Key     keyHash
 	UntilMs int64
-	Answer  Answer
+	Answer  Response
 }
 
 var encoding = mustEncMode(cbor.CoreDetEncOptions())
--- a/state/ledger/status.go
+++ b/state/ledger/status.go
@@ -2,22 +2,22 @@
 
 // Stats describes the size of a ledger, for metrics and the state dump.
 type Stats struct {
-	NowMs       int64
-	Claimed     int
-	Done        int
-	Released    int
-	Answers     int
-	AnswerBytes int
-	Executors   int
+	NowMs         int64
+	Claimed       int
+	Done          int
+	Released      int
+	Responses     int
+	ResponseBytes int
+	Executors     int
 }
 
 // Stats counts the keys that are held. It visits all of them and is meant for the state dump, not for each command.
 func (l *Ledger) Stats() Stats {
 	stats := Stats{
-		NowMs:       l.nowMs,
-		Answers:     len(l.answers.byKey),
-		AnswerBytes: l.answers.total,
-		Executors:   len(l.executors.list),
+		NowMs:         l.nowMs,
+		Responses:     len(l.answers.byKey),
+		ResponseBytes: l.answers.total,
+		Executors:     len(l.executors.list),
 	}
 	for _, e := range l.entries {
 		switch e.status {
--- a/state/registry/apply.go
+++ b/state/registry/apply.go
@@ -42,7 +42,7 @@
 	if code == CodeUnauthorized || code == CodeMalformed {
 		return false
 	}
-	return c.Stage == nil || code != CodeNotHeld
+	return c.Stage == nil || code != CodeMissingParts
 }
 
 func (r *Registry) execute(index uint64, c Command) Result {
@@ -132,7 +132,7 @@
 
 func codeOfStore(err error) Code {
 	if errors.Is(err, bundle.ErrMissingPart) {
-		return CodeNotHeld
+		return CodeMissingParts
 	}
 	return CodeInvalid
 }
@@ -163,7 +163,7 @@
 		return result
 	}
 	if !r.store.Holds(a.Digest) {
-		return refuse(CodeNotHeld, "bundle %s is not staged", a.Digest.Short())
+		return refuse(CodeMissingParts, "bundle %s is not staged", a.Digest.Short())
 	}
 	r.accept(index, a)
 	return Result{Effect: EffectApproved, Approval: r.latest.Approval, Index: index}
--- a/state/registry/fuzz_test.go
+++ b/state/registry/fuzz_test.go
@@ -32,7 +32,7 @@
 			Version: 2, Digest: update.Target, Operator: "ana", Update: compressed,
 		}})
 		if result.Code != registry.CodeOK {
-			Expect(r.State().Held).To(Equal([]bundle.Digest{digestOf(2)}))
+			Expect(r.State().StoredBundles).To(Equal([]bundle.Digest{digestOf(2)}))
 			return
 		}
 		b, err := r.Store().Bundle(update.Target)
--- a/state/registry/registry.go
+++ b/state/registry/registry.go
@@ -41,8 +41,8 @@
 	Latest *bundle.Approval
 	// Stopped reports whether the rollout of Latest was stopped.
 	Stopped bool
-	// Held lists the digests of the retained approved bundles, oldest first, then of the staged ones.
-	Held []bundle.Digest
+	// StoredBundles lists the digests of the retained approved bundles, oldest first, then of the staged ones.
+	StoredBundles []bundle.Digest
 	// Index is the log index of the last applied command.
 	Index uint64
 }
@@ -103,7 +103,7 @@
 
 // State returns what members distribute to nodes.
 func (r *Registry) State() State {
-	state := State{Stopped: r.stopped, Index: r.index, Held: r.held()}
+	state := State{Stopped: r.stopped, Index: r.index, StoredBundles: r.held()}
 	if r.latest != nil {
 		approval := *r.latest.Approval
 		state.Latest = &approval
--- a/state/registry/registry_test.go
+++ b/state/registry/registry_test.go
@@ -41,9 +41,9 @@
 	It("gives a command with a request identifier its first result, even if that was a refusal", func() {
 		early := approve(1, "ana", 1, 0)
 		early.RequestID = "r1"
-		Expect(g.apply(early).Err()).To(MatchError(registry.ErrNotHeld))
+		Expect(g.apply(early).Err()).To(MatchError(registry.ErrMissingParts))
 		Expect(g.apply(stage(1, "ana", 1)).Err()).To(Succeed())
-		Expect(g.apply(early).Err()).To(MatchError(registry.ErrNotHeld))
+		Expect(g.apply(early).Err()).To(MatchError(registry.ErrMissingParts))
 		early.RequestID = "r2"
 		Expect(g.apply(early).Err()).To(Succeed())
 		other := stop(1, "ana")
@@ -88,13 +88,13 @@
 				Version: 1, Digest: digestOf(1), Operator: "ana", Update: encode(update),
 			}})
 			Expect(result.Err()).To(MatchError(want))
-			Expect(g.first.State().Held).To(BeEmpty())
+			Expect(g.first.State().StoredBundles).To(BeEmpty())
 		},
 		Entry("content of a part", func(u *bundle.Update) { u.Parts[0].Data[1] ^= 1 }, registry.ErrInvalid),
 		Entry("entry left out", func(u *bundle.Update) { u.Delta.Set = u.Delta.Set[1:] }, registry.ErrInvalid),
-		Entry("part left out", func(u *bundle.Update) { u.Parts = u.Parts[1:] }, registry.ErrNotHeld),
+		Entry("part left out", func(u *bundle.Update) { u.Parts = u.Parts[1:] }, registry.ErrMissingParts),
 		Entry("other target", func(u *bundle.Update) { u.Target[0] ^= 1 }, registry.ErrMalformed),
-		Entry("unknown base", func(u *bundle.Update) { u.Base[0] = 1 }, registry.ErrNotHeld),
+		Entry("unknown base", func(u *bundle.Update) { u.Base[0] = 1 }, registry.ErrMissingParts),
 	)
 
 	It("refuses a bundle outside canonical form, so that one configuration has one digest", func() {
@@ -124,7 +124,7 @@
 		Expect(g.apply(stop(2, "ben"))).To(Equal(withdrawn))
 		Expect(g.apply(approve(2, "ana", 1, 0)).Err()).To(MatchError(registry.ErrWithdrawn))
 		Expect(g.apply(stage(2, "ana", 3)).Err()).To(MatchError(registry.ErrWithdrawn))
-		Expect(g.first.State().Held).To(Equal([]bundle.Digest{digestOf(1)}))
+		Expect(g.first.State().StoredBundles).To(Equal([]bundle.Digest{digestOf(1)}))
 		// Approved: the rollout stops and the version stays the latest.
 		g.accept(3, 3)
 		stopped := g.apply(stop(3, "ben"))
@@ -196,7 +196,7 @@
 			Expect(g.apply(stage(version, "ana", int(version))).Err()).To(Succeed())
 		}
 		store := g.first.Store()
-		Expect(g.first.State().Held).To(HaveLen(16 + registry.MaxStaged))
+		Expect(g.first.State().StoredBundles).To(HaveLen(16 + registry.MaxStaged))
 		Expect(store.Holds(digestOf(4))).To(BeFalse())
 		Expect(store.Holds(digestOf(5))).To(BeTrue())
 		Expect(store.Holds(digestOf(100))).To(BeFalse(), "the oldest staged bundle is dropped")
--- a/state/registry/result.go
+++ b/state/registry/result.go
@@ -24,8 +24,8 @@
 	CodeNotLatest
 	// CodeUnknownVersion means that the version to be stopped is neither staged nor approved.
 	CodeUnknownVersion
-	// CodeNotHeld means that parts of the bundle, or the base of an update, are not held.
-	CodeNotHeld
+	// CodeMissingParts means that parts of the bundle, or the base of an update, are not held.
+	CodeMissingParts
 	// CodeInvalid means that the bundle does not validate.
 	CodeInvalid
 	// CodeUnauthorized means that the operator is unknown or the signature does not verify.
@@ -41,7 +41,7 @@
 	ErrWithdrawn      = errors.New("registry: version was withdrawn")
 	ErrNotLatest      = errors.New("registry: version is not the latest approved one")
 	ErrUnknownVersion = errors.New("registry: version is neither staged nor approved")
-	ErrNotHeld        = errors.New("registry: parts are not held")
+	ErrMissingParts   = errors.New("registry: parts are not held")
 	ErrInvalid        = errors.New("registry: bundle does not validate")
 	ErrUnauthorized   = errors.New("registry: operator is unknown or the signature does not verify")
 	ErrMalformed      = errors.New("registry: malformed command")
@@ -82,7 +82,7 @@
 	CodeWithdrawn:      ErrWithdrawn,
 	CodeNotLatest:      ErrNotLatest,
 	CodeUnknownVersion: ErrUnknownVersion,
-	CodeNotHeld:        ErrNotHeld,
+	CodeMissingParts:   ErrMissingParts,
 	CodeInvalid:        ErrInvalid,
 	CodeUnauthorized:   ErrUnauthorized,
 	CodeMalformed:      ErrMalformed,
--- a/state/registry/update.go
+++ b/state/registry/update.go
@@ -72,7 +72,7 @@
 
 // Shrink returns the stage with an update that carries only what the registry does not hold, as a change to the latest
 // approved bundle. The leader calls it before it proposes a stage. If the base is dropped before the stage is applied,
-// the result is CodeNotHeld and the leader shrinks the original stage again.
+// the result is CodeMissingParts and the leader shrinks the original stage again.
 func (r *Registry) Shrink(s Stage) (Stage, error) {
 	update, err := DecodeUpdate(s.Update)
 	if err != nil {
@@ -92,7 +92,7 @@
 	}
 	from, ok := r.store.Manifest(update.Base)
 	if !ok && !update.Base.IsZero() {
-		return bundle.Update{}, errors.Wrapf(ErrNotHeld, "base bundle %s", update.Base.Short())
+		return bundle.Update{}, errors.Wrapf(ErrMissingParts, "base bundle %s", update.Base.Short())
 	}
 	target, err := from.Apply(update.Delta, update.Target)
 	if err != nil {
--- a/state/wal/wal_test.go
+++ b/state/wal/wal_test.go
@@ -173,7 +173,7 @@
 func TestRecoveredStateIsTheAcknowledgedOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fake := disk.NewFake(rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed"))))
-		fake.SetTear(true)
+		fake.SetTornWrites(true)
 		options := wal.Options{SegmentBytes: 1500}
 		log, recovered, err := wal.OpenWith(fake, options)
 		if err != nil {
@@ -222,7 +222,7 @@
 			default:
 				t.Fatalf("step %d: recovered %v\nacknowledged %v\nattempted %v", step, found, acked, attempted)
 			}
-			fake.SetTear(true)
+			fake.SetTornWrites(true)
 		}
 	})
 }
