--- a/control/admin.go
+++ b/control/admin.go
@@ -27,7 +27,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathDump, m.serveDump)
 	mux.Handle("GET "+PathMetrics, m.metrics.registry.Handler())
-	mux.Handle("/v1/", operator.NewHandler(backend{member: m}))
+	mux.Handle("/v1/", operator.NewHandler(operatorBackend{member: m}))
 	return mux
 }
 
--- a/control/staff.go
+++ b/control/automembership.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// seekInterval is the time between two rounds in which a process without a group asks to join. It is well below the
+	// joinInterval is the time between two rounds in which a process without a group asks to join. It is well below the
 	// time for which a candidate counts as waiting.
-	seekInterval = 300 * time.Millisecond
-	// seekTimeout bounds one question, so that an address that does not answer does not delay the others for long.
-	seekTimeout = 500 * time.Millisecond
-	// leaderFreshness is how old the confirmation of a leader by a quorum may be when it says who belongs to the group.
+	joinInterval = 300 * time.Millisecond
+	// joinRequestTimeout bounds one question, so that an address that does not answer does not delay the others for long.
+	joinRequestTimeout = 500 * time.Millisecond
+	// maxLeaderConfirmationAge is how old the confirmation of a leader by a quorum may be when it says who belongs to the group.
 	// A leader that was cut off or suspended must not tell a member that it was removed.
-	leaderFreshness = time.Second
+	maxLeaderConfirmationAge = time.Second
 )
 
 // ErrRemoved means that this process was replaced in the group and has discarded its state. It joins under a new
 // identity when it is started again.
 var ErrRemoved = errors.New("control: the group has replaced this member")
 
-// staff lets the leader propose the next membership change.
-func (m *Member) staff(now time.Time) {
+// proposeMembershipChange lets the leader propose the next membership change.
+func (m *Member) proposeMembershipChange(now time.Time) {
 	r := m.replicas[registryGroup]
-	if m.options.Voters == 0 || !r.leads() {
+	if m.options.Voters == 0 || !r.isLeader() {
 		return
 	}
 	change, ok := membership.Next(now, r.raft.Status(), &m.candidates, m.options.Voters)
@@ -60,7 +60,7 @@
 		status := r.raft.Status()
 		_, reply.Member = status.Membership.Find(raft.MemberID(request.ID))
 		age, confirmed := r.raft.ConfirmedAge(now)
-		reply.Leads = status.Role == raft.RoleLeader && !status.MembershipPending && confirmed && age < leaderFreshness
+		reply.Leads = status.Role == raft.RoleLeader && !status.MembershipPending && confirmed && age < maxLeaderConfirmationAge
 		reply.Members = memberAddresses(status)
 		if !reply.Member {
 			m.candidates.Announce(membership.Candidate{
@@ -86,9 +86,9 @@
 	return addresses
 }
 
-// seekGroup asks to join while this process belongs to no group. A member without a leader asks too: the group may have
+// joinGroup asks to join while this process belongs to no group. A member without a leader asks too: the group may have
 // replaced it while it was away.
-func (m *Member) seekGroup() {
+func (m *Member) joinGroup() {
 	var known []string
 	for m.ctx.Err() == nil {
 		var status raft.Status
@@ -97,14 +97,14 @@
 		}
 		_, listed := status.Membership.Find(status.ID)
 		if !listed || status.Leader == "" {
-			known = m.askToJoin(listed, append(known, memberAddresses(status)...))
+			known = m.requestJoin(listed, append(known, memberAddresses(status)...))
 		}
-		pause(m.ctx, seekInterval)
+		sleep(m.ctx, joinInterval)
 	}
 }
 
-// askToJoin asks all known processes and returns the members that they name.
-func (m *Member) askToJoin(listed bool, known []string) []string {
+// requestJoin asks all known processes and returns the members that they name.
+func (m *Member) requestJoin(listed bool, known []string) []string {
 	addresses := append(slices.Clone(known), m.options.Seeds()...)
 	var members []string
 	asked := map[string]bool{m.options.Advertise: true}
@@ -115,12 +115,12 @@
 			continue
 		}
 		asked[address] = true
-		reply, err := m.ask(address)
+		reply, err := m.sendJoinRequest(address)
 		if err != nil {
 			continue
 		}
 		if reply.Leads && !reply.Member && listed {
-			m.discard()
+			m.discardState()
 			return nil
 		}
 		if reply.Leads {
@@ -132,17 +132,17 @@
 	return members
 }
 
-func (m *Member) ask(address string) (*protocol.IdentifyReply, error) {
-	ctx, cancel := context.WithTimeout(m.ctx, seekTimeout)
+func (m *Member) sendJoinRequest(address string) (*protocol.IdentifyReply, error) {
+	ctx, cancel := context.WithTimeout(m.ctx, joinRequestTimeout)
 	defer cancel()
 	return m.pool.Identify(ctx, address, &protocol.IdentifyRequest{
 		ID: m.ID(), Address: m.options.Advertise, Zone: m.options.Zone,
 	})
 }
 
-// discard gives up an identity that the group has removed. Its log must not be used again, so the folder is emptied and
+// discardState gives up an identity that the group has removed. Its log must not be used again, so the folder is emptied and
 // the member stops; a new start joins as a candidate with an empty folder.
-func (m *Member) discard() {
+func (m *Member) discardState() {
 	m.logger.Warn().Str("member", m.ID()).Msg("the group has replaced this member; its state is discarded")
 	if err := removeAll(m.options.RegistryFolder); err != nil {
 		m.logger.Error().Err(err).Msg("cannot discard the state")
--- a/control/staff_test.go
+++ b/control/automembership_test.go
@@ -17,8 +17,8 @@
 	"sapphiregate.example/sapphiregate/state/disk"
 )
 
-// crew is a group that manages itself: five processes, of which the first three form it.
-type crew struct {
+// selfManagedGroup is a group that manages itself: five processes, of which the first three form it.
+type selfManagedGroup struct {
 	addresses []string
 	members   []*control.Member
 	founders  []control.Founder
@@ -29,12 +29,12 @@
 	Eventually(func() (err error) {
 		listener, err = net.Listen("tcp", address)
 		return err
-	}, patience).Should(Succeed())
+	}, eventuallyTimeout).Should(Succeed())
 	return listener
 }
 
-func newCrew() *crew {
-	c := &crew{members: make([]*control.Member, 5)}
+func newSelfManagedGroup() *selfManagedGroup {
+	c := &selfManagedGroup{members: make([]*control.Member, 5)}
 	for range c.members {
 		listener := listenAt("127.0.0.1:0")
 		c.addresses = append(c.addresses, listener.Addr().String())
@@ -55,7 +55,7 @@
 }
 
 // start starts a process with an empty disk. Only founders at the first start form the group.
-func (c *crew) start(i int, founders []control.Founder) {
+func (c *selfManagedGroup) start(i int, founders []control.Founder) {
 	if i >= 3 {
 		founders = nil
 	}
@@ -71,14 +71,14 @@
 	c.members[i] = m
 }
 
-// wipe ends a process and starts it again with an empty disk.
-func (c *crew) wipe(i int) {
+// restartWithEmptyDisk ends a process and starts it again with an empty disk.
+func (c *selfManagedGroup) restartWithEmptyDisk(i int) {
 	c.members[i].Kill()
 	c.start(i, nil)
 }
 
 // put brings a version into force through any member.
-func (c *crew) put(version, base uint64) {
+func (c *selfManagedGroup) put(version, base uint64) {
 	EventuallyWithOffset(1, func() error {
 		for _, m := range c.members {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -91,11 +91,11 @@
 			}
 		}
 		return operator.ErrNoQuorum
-	}, patience).Should(Succeed())
+	}, eventuallyTimeout).Should(Succeed())
 }
 
-// whole reports whether all processes vote and hold a version that a quorum confirms, and no lost member is left.
-func (c *crew) whole(version uint64) func() bool {
+// isRepaired reports whether all processes vote and hold a version that a quorum confirms, and no lost member is left.
+func (c *selfManagedGroup) isRepaired(version uint64) func() bool {
 	return func() bool {
 		var ids []string
 		for _, m := range c.members {
@@ -120,23 +120,23 @@
 var _ = Describe("a group that manages itself", func() {
 	// Guards against the loss of what was acknowledged when two disks are lost, and two others right after the repair.
 	It("repairs the loss of two disks, and then of two others", func() {
-		c := newCrew()
+		c := newSelfManagedGroup()
 		c.put(1, 0)
-		Eventually(c.whole(1), patience).Should(BeTrue())
-		c.wipe(1)
-		c.wipe(3)
-		Eventually(c.whole(1), patience).Should(BeTrue())
+		Eventually(c.isRepaired(1), eventuallyTimeout).Should(BeTrue())
+		c.restartWithEmptyDisk(1)
+		c.restartWithEmptyDisk(3)
+		Eventually(c.isRepaired(1), eventuallyTimeout).Should(BeTrue())
 		c.put(2, 1)
-		c.wipe(0)
-		c.wipe(4)
-		Eventually(c.whole(2), patience).Should(BeTrue())
+		c.restartWithEmptyDisk(0)
+		c.restartWithEmptyDisk(4)
+		Eventually(c.isRepaired(2), eventuallyTimeout).Should(BeTrue())
 	})
 
 	// Guards against a member that was cut off and answers with an old version.
 	It("answers no read beside members that are gone", func() {
-		c := newCrew()
+		c := newSelfManagedGroup()
 		c.put(1, 0)
-		Eventually(c.whole(1), patience).Should(BeTrue())
+		Eventually(c.isRepaired(1), eventuallyTimeout).Should(BeTrue())
 		for _, m := range c.members[1:4] {
 			m.Kill()
 		}
@@ -145,6 +145,6 @@
 			defer cancel()
 			_, _, err := c.members[0].Latest(ctx)
 			return err
-		}, patience).Should(MatchError(operator.ErrNoQuorum))
+		}, eventuallyTimeout).Should(MatchError(operator.ErrNoQuorum))
 	})
 })
--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -24,29 +24,29 @@
 }
 
 const (
-	identifyTimeout = time.Second
-	bootstrapPause  = 200 * time.Millisecond
+	identifyTimeout     = time.Second
+	bootstrapRetryDelay = 200 * time.Millisecond
 	// foundingIndex and foundingTerm place the first snapshot, which holds only the membership and is the same on all
 	// founders.
 	foundingIndex = 1
 	foundingTerm  = 1
 )
 
-// formed reports whether a folder belongs to a member of a group.
-func formed(recovered wal.Recovered) bool {
+// hasGroupState reports whether a folder belongs to a member of a group.
+func hasGroupState(recovered wal.Recovered) bool {
 	return recovered.Snapshot.Index > 0 || len(recovered.Entries) > 0
 }
 
-// isFounding reports whether a snapshot holds only a group's first membership.
-func isFounding(snapshot raft.Snapshot) bool {
+// isFoundingSnapshot reports whether a snapshot holds only a group's first membership.
+func isFoundingSnapshot(snapshot raft.Snapshot) bool {
 	return snapshot.Index == foundingIndex && snapshot.Term == foundingTerm
 }
 
-// form makes the first membership of a group durable. If another founder formed the group already, this replica adopts
+// formGroup makes the first membership of a group durable. If another founder formed the group already, this replica adopts
 // the first membership if that lists its identity: it then holds nothing that could be lost, and the founders that were
 // first may need its vote. Otherwise its folder is new, it starts empty and an operator must add it. A wiped member can
-// therefore neither vote under its old identity nor form a second group.
-func (m *Member) form(r *replica, recovered *wal.Recovered) error {
+// therefore neither vote under its old identity nor formGroup a second group.
+func (m *Member) formGroup(r *replica, recovered *wal.Recovered) error {
 	for {
 		membership, complete, exists := m.identifyFounders(m.ctx, r)
 		_, listed := membership.Find(r.id)
@@ -59,10 +59,10 @@
 			if err := r.log.SaveSnapshot(recovered.Snapshot); err != nil {
 				return errors.Wrapf(ErrStorage, "%v", err)
 			}
-			m.setFounding(r.group, membership)
+			m.markFounded(r.group, membership)
 			return nil
 		}
-		pause(m.ctx, bootstrapPause)
+		sleep(m.ctx, bootstrapRetryDelay)
 		if m.ctx.Err() != nil {
 			return errors.Wrapf(ErrBootstrap, "%v", m.ctx.Err())
 		}
@@ -83,12 +83,12 @@
 				complete = false
 				continue
 			}
-			described := reply.Groups[r.group]
-			if described.Formed && described.Founding != nil {
-				return *described.Founding, false, true
+			reported := reply.Groups[r.group]
+			if reported.Formed && reported.Founding != nil {
+				return *reported.Founding, false, true
 			}
-			exists = exists || described.Formed
-			id = raft.MemberID(described.ID)
+			exists = exists || reported.Formed
+			id = raft.MemberID(reported.ID)
 			founder.Zone = cmp.Or(founder.Zone, reply.Zone)
 		}
 		founder.Zone = cmp.Or(founder.Zone, m.options.Zone)
@@ -128,14 +128,14 @@
 	return reply, nil
 }
 
-func (m *Member) setFormed(group uint32) {
+func (m *Member) markFormed(group uint32) {
 	m.formedMu.Lock()
 	defer m.formedMu.Unlock()
 	m.formedGroups[group] = true
 }
 
-// setFounding notes the first membership of a group that this replica belongs to.
-func (m *Member) setFounding(group uint32, membership raft.Membership) {
+// markFounded notes the first membership of a group that this replica belongs to.
+func (m *Member) markFounded(group uint32, membership raft.Membership) {
 	m.formedMu.Lock()
 	defer m.formedMu.Unlock()
 	m.formedGroups[group] = true
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -27,27 +27,27 @@
 		Expect(g.WipeMember(wiped)).To(Succeed())
 		second := g.approve(other, 2, config("desk-two"))
 		g.start(wiped)
-		before := g.members(other)
-		Eventually(func() int { return len(g.dump(wiped).Groups) }, patience).Should(BeNumerically(">", 0))
+		before := g.memberIDs(other)
+		Eventually(func() int { return len(g.dump(wiped).Groups) }, eventuallyTimeout).Should(BeNumerically(">", 0))
 		Expect(before).NotTo(ContainElement(g.dump(wiped).ID))
-		Expect(g.members(other)).To(Equal(before))
+		Expect(g.memberIDs(other)).To(Equal(before))
 
 		// Without its old vote, the leader alone is no quorum.
 		g.kill(other)
-		g.refuses(wiped, 3)
+		g.expectNoApproval(wiped, 3)
 		leads, _ := g.Leader()
 		Expect(leads).NotTo(Equal(wiped))
-		Expect(g.latest(wiped)).To(BeZero())
+		Expect(g.latestVersion(wiped)).To(BeZero())
 		g.start(other)
 
 		g.leader()
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 		defer cancel()
 		added, err := g.ReplaceMember(ctx, wiped)
 		Expect(err).NotTo(HaveOccurred())
-		g.learnAdmins()
-		Eventually(func() uint64 { return g.latest(added) }, patience).Should(BeEquivalentTo(2))
-		Expect(g.members(added)).To(HaveLen(3))
+		g.refreshAdminAddresses()
+		Eventually(func() uint64 { return g.latestVersion(added) }, eventuallyTimeout).Should(BeEquivalentTo(2))
+		Expect(g.memberIDs(added)).To(HaveLen(3))
 		lost, _ := g.leader()
 		if lost == added {
 			lost = other
@@ -55,11 +55,11 @@
 		g.kill(lost)
 		for _, id := range g.Members() {
 			if id != lost {
-				Eventually(func() uint64 { return g.latest(id) }, patience).Should(BeEquivalentTo(2))
+				Eventually(func() uint64 { return g.latestVersion(id) }, eventuallyTimeout).Should(BeEquivalentTo(2))
 			}
 		}
 		g.approve(added, 3, config("desk-three"))
-		again, err := g.client(added, patientRounds).Approve(context.Background(), g.request("ana", 2, config("desk-two")))
+		again, err := g.client(added, maxClientRounds).Approve(context.Background(), g.request("ana", 2, config("desk-two")))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again.Index).To(Equal(second.Index))
 	})
@@ -79,7 +79,7 @@
 		var decisions [2]operator.Decision
 		var running sync.WaitGroup
 		for i, id := range []string{"b", "c"} {
-			client := g.client(id, patientRounds)
+			client := g.client(id, maxClientRounds)
 			running.Go(func() { decisions[i], results[i] = client.Approve(context.Background(), requests[i]) })
 		}
 		running.Wait()
@@ -95,7 +95,7 @@
 		Expect(detailed.Winner.Operator).To(Equal(names[winner]))
 		Expect(detailed.Winner.Digest).To(Equal(requests[winner].Approval.Digest))
 		for _, id := range g.Members() {
-			Eventually(func() *bundle.Approval { return g.dump(id).Latest }, patience).
+			Eventually(func() *bundle.Approval { return g.dump(id).Latest }, eventuallyTimeout).
 				Should(HaveValue(Equal(requests[winner].Approval)))
 		}
 		g.kill(leader)
@@ -104,13 +104,13 @@
 			if i > 0 {
 				requests[winner].RequestID = operator.NewRequestID()
 			}
-			again, err := g.client(id, patientRounds).Approve(context.Background(), requests[winner])
+			again, err := g.client(id, maxClientRounds).Approve(context.Background(), requests[winner])
 			Expect(err).NotTo(HaveOccurred())
 			Expect(again).To(Equal(decisions[winner]))
 		}
 
 		// Guards against acknowledged state that was never synced.
-		answer, err := g.client(followers[0], patientRounds).Members(context.Background())
+		answer, err := g.client(followers[0], maxClientRounds).Members(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		var addresses []string
 		for _, member := range answer.Members {
@@ -119,19 +119,19 @@
 		pool := rpc.NewPool(nil, nil)
 		defer pool.Close()
 		claim := ledger.Claim{Key: "k", Route: "promote", Executor: "e", Incarnation: 1, Attempt: 1}
-		Expect(g.commit(pool, addresses, ledger.Command{Claim: &claim}).Status).To(Equal(ledger.Granted))
-		g.commit(pool, addresses, ledger.Command{Record: &ledger.Record{
+		Expect(g.commitToLedger(pool, addresses, ledger.Command{Claim: &claim}).Status).To(Equal(ledger.Granted))
+		g.commitToLedger(pool, addresses, ledger.Command{Record: &ledger.Record{
 			Key: "k", Executor: "e", Incarnation: 1, Attempt: 1, Response: ledger.Response{Status: 201, Body: []byte("dan 3")},
 		}})
 		g.kill(followers...)
 		g.start("c", "b", "a")
 		g.leader()
 		for _, id := range g.Members() {
-			Eventually(func() uint64 { return g.latest(id) }, patience).Should(BeEquivalentTo(1))
+			Eventually(func() uint64 { return g.latestVersion(id) }, eventuallyTimeout).Should(BeEquivalentTo(1))
 		}
 		other := claim
 		other.Attempt = 2
-		kept := g.commit(pool, addresses, ledger.Command{Claim: &other})
+		kept := g.commitToLedger(pool, addresses, ledger.Command{Claim: &other})
 		Expect(kept.Status).To(Equal(ledger.Done))
 		Expect(string(kept.Response.Body)).To(Equal("dan 3"))
 	})
@@ -144,12 +144,12 @@
 		if !leads {
 			left, lost = followers[0], []string{left, followers[1]}
 		}
-		Eventually(func() bool { return g.dump(left).Relay.Confirmed }, patience).Should(BeTrue())
+		Eventually(func() bool { return g.dump(left).Relay.Confirmed }, eventuallyTimeout).Should(BeTrue())
 		rollout := func() operator.RolloutState {
 			status, _ := g.client(left, 1).Status(context.Background())
 			return status.Rollout
 		}
-		Eventually(rollout, patience).Should(Equal(operator.RolloutNone))
+		Eventually(rollout, eventuallyTimeout).Should(Equal(operator.RolloutNone))
 		g.kill(lost...)
 		for range 2 {
 			before := g.dump(left)
@@ -157,13 +157,13 @@
 				now := g.dump(left)
 				check.Expect(now.ConfirmedAgeMs).To(BeNumerically(">", before.ConfirmedAgeMs))
 				check.Expect(now.Relay.Age).To(BeNumerically(">", before.Relay.Age))
-			}, patience).Should(Succeed())
+			}, eventuallyTimeout).Should(Succeed())
 		}
-		g.refuses(left, 2)
+		g.expectNoApproval(left, 2)
 		// A member that starts without a quorum was never told what is current.
 		g.kill(left)
 		g.start(left)
-		Eventually(rollout, patience).Should(Equal(operator.RolloutUnknown))
+		Eventually(rollout, eventuallyTimeout).Should(Equal(operator.RolloutUnknown))
 		Expect(g.dump(left).Relay.Confirmed).To(BeFalse())
 		if leads {
 			g.start(lost...)
@@ -176,9 +176,9 @@
 
 })
 
-// refuses expects that a member accepts no approval now.
-func (g *group) refuses(id string, version uint64) {
-	_, err := g.clientWithin(id, 1, 300*time.Millisecond).Approve(context.Background(), g.request("ana", version, config("desk")))
+// expectNoApproval expects that a member accepts no approval now.
+func (g *group) expectNoApproval(id string, version uint64) {
+	_, err := g.clientWithTimeout(id, 1, 300*time.Millisecond).Approve(context.Background(), g.request("ana", version, config("desk")))
 	Expect(errors.IsAny(err, operator.ErrNoQuorum, operator.ErrNotLeader, operator.ErrOutcomeUnknown)).
 		To(BeTrue(), "%v", err)
 }
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -7,7 +7,7 @@
 
 // Voters lists the identities of the voting members of the registry's log as this member knows them.
 func (m *Member) Voters() (ids []string) {
-	if m.running(context.Background()) != nil {
+	if m.waitRunning(context.Background()) != nil {
 		return nil
 	}
 	_ = m.host.Query(context.Background(), func(time.Time) {
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -27,7 +27,7 @@
 	"sapphiregate.example/sapphiregate/transport/shape"
 )
 
-const patience = 20 * time.Second
+const eventuallyTimeout = 20 * time.Second
 
 func TestControl(t *testing.T) {
 	RegisterFailHandler(Fail)
@@ -72,7 +72,7 @@
 	}, local.Options{Logger: zerolog.New(GinkgoWriter)})
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(func() { Expect(g.Close()).To(Succeed()) })
-	g.learnAdmins()
+	g.refreshAdminAddresses()
 	return g
 }
 
@@ -87,23 +87,23 @@
 	g.start(order[2])
 	g.leader()
 	var first []string
-	Eventually(func() int { first = g.members("a"); return len(first) }, patience).Should(Equal(3))
+	Eventually(func() int { first = g.memberIDs("a"); return len(first) }, eventuallyTimeout).Should(Equal(3))
 	Expect(first).NotTo(ContainElement(BeElementOf("a", "b", "c")))
 	for _, id := range order {
-		Eventually(func() []string { return g.members(id) }, patience).Should(Equal(first))
+		Eventually(func() []string { return g.memberIDs(id) }, eventuallyTimeout).Should(Equal(first))
 		Expect(first).To(ContainElement(g.dump(id).ID))
 	}
 	return g
 }
 
-func (g *group) learnAdmins() {
+func (g *group) refreshAdminAddresses() {
 	for i, id := range g.Members() {
 		g.admin[id] = g.AdminAddresses()[i]
 	}
 }
 
 func (g *group) start(ids ...string) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 	defer cancel()
 	for _, id := range ids {
 		Expect(g.StartMember(ctx, id)).To(Succeed())
@@ -118,16 +118,16 @@
 
 // leader waits until one of the members leads, and returns it with the others.
 func (g *group) leader() (leader string, followers []string) {
-	Eventually(func() (ok bool) { leader, ok = g.Leader(); return ok }, patience).Should(BeTrue())
+	Eventually(func() (ok bool) { leader, ok = g.Leader(); return ok }, eventuallyTimeout).Should(BeTrue())
 	return leader, slices.DeleteFunc(g.Members(), func(id string) bool { return id == leader })
 }
 
 // client asks one member again and again, as a patient operator does; rounds bounds it.
 func (g *group) client(id string, rounds int) *operator.Client {
-	return g.clientWithin(id, rounds, 2*time.Second)
+	return g.clientWithTimeout(id, rounds, 2*time.Second)
 }
 
-func (g *group) clientWithin(id string, rounds int, attempt time.Duration) *operator.Client {
+func (g *group) clientWithTimeout(id string, rounds int, attempt time.Duration) *operator.Client {
 	client, err := operator.NewClient(operator.ClientConfig{
 		Addresses: []string{g.admin[id]}, Rounds: rounds, RetryWait: 20 * time.Millisecond,
 		AttemptTimeout: attempt, Rand: rand.New(rand.NewSource(1)),
@@ -136,7 +136,7 @@
 	return client
 }
 
-const patientRounds = 10
+const maxClientRounds = 10
 
 // config returns a bundle that differs by its service's name.
 func config(service string) *bundle.Bundle {
@@ -157,7 +157,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	encoded, err := registry.EncodeUpdate(update)
 	Expect(err).NotTo(HaveOccurred())
-	_, err = g.client(id, patientRounds).Stage(context.Background(), operator.StageRequest{
+	_, err = g.client(id, maxClientRounds).Stage(context.Background(), operator.StageRequest{
 		RequestID: operator.NewRequestID(), Operator: name, Version: version, Digest: update.Target, Update: encoded,
 	})
 	Expect(err).NotTo(HaveOccurred())
@@ -165,7 +165,7 @@
 
 func (g *group) approve(id string, version uint64, b *bundle.Bundle) operator.Decision {
 	g.stage(id, "ana", version, b)
-	decision, err := g.client(id, patientRounds).Approve(context.Background(), g.request("ana", version, b))
+	decision, err := g.client(id, maxClientRounds).Approve(context.Background(), g.request("ana", version, b))
 	Expect(err).NotTo(HaveOccurred())
 	return decision
 }
@@ -178,15 +178,15 @@
 	return dump
 }
 
-func (g *group) latest(id string) uint64 {
+func (g *group) latestVersion(id string) uint64 {
 	if latest := g.dump(id).Latest; latest != nil {
 		return latest.Version
 	}
 	return 0
 }
 
-// members returns the identities of the membership that a member holds.
-func (g *group) members(id string) (ids []string) {
+// memberIDs returns the identities of the membership that a member holds.
+func (g *group) memberIDs(id string) (ids []string) {
 	dump := g.dump(id)
 	if len(dump.Groups) == 0 {
 		return nil
@@ -198,8 +198,8 @@
 	return ids
 }
 
-// commit sends a ledger command to the members until one commits it.
-func (g *group) commit(pool *rpc.Pool, addresses []string, command ledger.Command) (result ledger.Result) {
+// commitToLedger sends a ledger command to the members until one commits it.
+func (g *group) commitToLedger(pool *rpc.Pool, addresses []string, command ledger.Command) (result ledger.Result) {
 	data, err := protocol.Marshal(command)
 	Expect(err).NotTo(HaveOccurred())
 	request := &protocol.ProposeRequest{Target: protocol.TargetLedger, Key: "k", Command: data}
@@ -213,6 +213,6 @@
 			}
 		}
 		return false
-	}, patience).Should(BeTrue())
+	}, eventuallyTimeout).Should(BeTrue())
 	return result
 }
--- a/control/configure.go
+++ b/control/latestbundle.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// readFreshness is how old the confirmation of a member's state may be when it answers a read. It is half of the 2 s
+	// maxReadConfirmationAge is how old the confirmation of a member's state may be when it answers a read. It is half of the 2 s
 	// within which an approved version comes into force everywhere.
-	readFreshness = time.Second
-	// readPause is the time between two looks at a state that is not confirmed yet; heartbeats confirm it.
-	readPause = 20 * time.Millisecond
+	maxReadConfirmationAge = time.Second
+	// readRetryDelay is the time between two looks at a state that is not confirmed yet; heartbeats confirm it.
+	readRetryDelay = 20 * time.Millisecond
 )
 
 // PutRequest is a bundle that comes into force if the version it builds on is still the latest.
@@ -44,13 +44,13 @@
 	approval := bundle.Approval{
 		Version: put.Version, Digest: update.Target, Operator: put.Operator, Replaces: put.Base, First: put.Base == 0,
 	}
-	return backend{member: m}.stage(ctx, registry.Command{Stage: &stage, Approve: &approval})
+	return operatorBackend{member: m}.stage(ctx, registry.Command{Stage: &stage, Approve: &approval})
 }
 
 // Latest returns the latest approved bundle. It waits until a quorum has confirmed this member's state, and fails with
 // operator.ErrNoQuorum when the context ends before.
 func (m *Member) Latest(ctx context.Context) (uint64, *bundle.Bundle, error) {
-	b := backend{member: m}
+	b := operatorBackend{member: m}
 	started := time.Now()
 	for {
 		var version uint64
@@ -59,7 +59,7 @@
 		fresh := false
 		err := b.query(ctx, func(now time.Time) {
 			age, confirmed := m.replicas[registryGroup].raft.ConfirmedAge(now)
-			if fresh = confirmed && age < readFreshness; !fresh {
+			if fresh = confirmed && age < maxReadConfirmationAge; !fresh {
 				return
 			}
 			if approval := m.registry.registry.State().Latest; approval != nil {
@@ -74,6 +74,6 @@
 			m.metrics.readTime.Observe(time.Since(started).Seconds())
 			return version, latest, errors.Wrap(found, "control: read the latest bundle")
 		}
-		pause(ctx, readPause)
+		sleep(ctx, readRetryDelay)
 	}
 }
--- a/control/member.go
+++ b/control/member.go
@@ -73,11 +73,11 @@
 const (
 	defaultSnapshotEntries = 10_000
 	readHeaderTimeout      = 10 * time.Second
-	// memberStopTime bounds the wait for streams that do not end by themselves.
-	memberStopTime = 200 * time.Millisecond
-	// transferTime lets a stopping leader hand over, so that a planned stop costs no election timeout.
-	transferTime  = time.Second
-	transferPause = 20 * time.Millisecond
+	// adminShutdownTimeout bounds the wait for streams that do not end by themselves.
+	adminShutdownTimeout = 200 * time.Millisecond
+	// transferTimeout lets a stopping leader hand over, so that a planned stop costs no election timeout.
+	transferTimeout      = time.Second
+	transferPollInterval = 20 * time.Millisecond
 )
 
 // registryGroup is the group of the registry's log.
@@ -97,10 +97,10 @@
 	admin      *http.Server
 	quarantine *quarantine.List
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	tasks  sync.WaitGroup
-	kill   sync.Once
+	ctx      context.Context
+	cancel   context.CancelFunc
+	tasks    sync.WaitGroup
+	killOnce sync.Once
 	// ready is closed once the control goroutine runs.
 	ready chan struct{}
 
@@ -111,8 +111,8 @@
 
 	// replicas are indexed by group. What they hold belongs to the control goroutine.
 	replicas []*replica
-	registry *registryMachine
-	ledgers  []*ledgerMachine
+	registry *registryStateMachine
+	ledgers  []*ledgerStateMachine
 	// candidates belongs to the control goroutine.
 	candidates membership.Candidates
 	// removed is closed once this process has learned that its identity was removed from the group.
@@ -160,13 +160,13 @@
 
 // openReplicas reads the folders of all logs.
 func (m *Member) openReplicas() ([]wal.Recovered, error) {
-	m.registry = newRegistryMachine(m.options.Keys)
+	m.registry = newRegistryStateMachine(m.options.Keys)
 	registryReplica := m.newReplica(registryGroup, m.registry, m.pool)
-	registryReplica.applied = m.publishSource
-	registryReplica.membershipChanged = m.publishMembers
+	registryReplica.onApplied = m.publishSource
+	registryReplica.onMembershipChange = m.publishMembers
 	folders := []disk.FS{m.options.RegistryFolder}
 	for i, folder := range m.options.LedgerFolders {
-		machine := newLedgerMachine(m.options.Ledger)
+		machine := newLedgerStateMachine(m.options.Ledger)
 		m.ledgers = append(m.ledgers, machine)
 		m.newReplica(uint32(i+1), machine, m.ledgerPool)
 		folders = append(folders, folder)
@@ -178,22 +178,22 @@
 			return nil, err
 		}
 		switch {
-		case isFounding(recovered.Snapshot):
-			m.setFounding(r.group, recovered.Snapshot.Membership)
-		case formed(recovered):
-			m.setFormed(r.group)
+		case isFoundingSnapshot(recovered.Snapshot):
+			m.markFounded(r.group, recovered.Snapshot.Membership)
+		case hasGroupState(recovered):
+			m.markFormed(r.group)
 		}
 		all = append(all, recovered)
 	}
 	return all, nil
 }
 
-func (m *Member) newReplica(group uint32, machine machine, pool *rpc.Pool) *replica {
+func (m *Member) newReplica(group uint32, machine stateMachine, pool *rpc.Pool) *replica {
 	r := &replica{
 		group: group, machine: machine, pool: pool, address: m.options.Advertise, snapshotEntries: m.options.SnapshotEntries,
-		logger: m.logger.With().Uint32("group", group).Logger(),
-		post:   func(input func(now time.Time)) bool { return m.host.Post(input) },
-		failed: m.fail,
+		logger:    m.logger.With().Uint32("group", group).Logger(),
+		post:      func(input func(now time.Time)) bool { return m.host.Post(input) },
+		onFailure: m.fail,
 	}
 	m.replicas = append(m.replicas, r)
 	return r
@@ -233,15 +233,15 @@
 // run forms or rejoins the groups and then becomes the control goroutine.
 func (m *Member) run(recovered []wal.Recovered) {
 	for i, r := range m.replicas {
-		if formed(recovered[i]) || len(m.options.Founders) == 0 {
+		if hasGroupState(recovered[i]) || len(m.options.Founders) == 0 {
 			continue
 		}
-		if err := m.form(r, &recovered[i]); err != nil {
+		if err := m.formGroup(r, &recovered[i]); err != nil {
 			m.reportStartFailure(err)
 			return
 		}
 	}
-	if err := m.begin(recovered); err != nil {
+	if err := m.startReplicas(recovered); err != nil {
 		m.reportStartFailure(err)
 		return
 	}
@@ -250,11 +250,11 @@
 	}
 	close(m.ready)
 	if m.options.Voters > 0 {
-		m.tasks.Go(m.seekGroup)
+		m.tasks.Go(m.joinGroup)
 	}
 	m.host.Run(m.ctx)
 	for _, r := range m.replicas {
-		r.abandon()
+		r.endOpenProposals()
 	}
 }
 
@@ -264,7 +264,7 @@
 	}
 }
 
-func (m *Member) begin(recovered []wal.Recovered) error {
+func (m *Member) startReplicas(recovered []wal.Recovered) error {
 	now := clock.Now()
 	incarnation := uint64(time.Now().UnixNano())
 	m.quarantine = quarantine.New(quarantine.Config{ID: m.ID(), Incarnation: incarnation})
@@ -274,14 +274,14 @@
 	config.Rand = rand.New(rand.NewSource(int64(incarnation)))
 	m.peer = relay.New(now, config)
 	m.host = mesh.NewHost(mesh.Options{
-		Peer: m.peer, Pool: m.pool, Logger: m.logger, Output: m.handleOutput, Tick: m.tick, AfterBatch: m.pump,
+		Peer: m.peer, Pool: m.pool, Logger: m.logger, Output: m.handleOutput, Tick: m.tick, AfterBatch: m.processReady,
 	})
 	raftConfig := raft.Config{
 		ElectionTimeout: m.options.ElectionTimeout, HeartbeatInterval: m.options.HeartbeatInterval,
 		MaxAppendBytes: m.options.MaxAppendBytes,
 	}
 	for i, r := range m.replicas {
-		if err := r.begin(m.ctx, now, raftConfig, recovered[i]); err != nil {
+		if err := r.start(m.ctx, now, raftConfig, recovered[i]); err != nil {
 			return err
 		}
 	}
@@ -294,15 +294,15 @@
 	for _, r := range m.replicas {
 		r.raft.Tick(now)
 	}
-	m.staff(now)
+	m.proposeMembershipChange(now)
 	if age, ok := m.replicas[registryGroup].raft.ConfirmedAge(now); ok {
 		m.peer.SetConfirmed(now, age)
 	}
 }
 
-func (m *Member) pump(now time.Time) {
+func (m *Member) processReady(now time.Time) {
 	for _, r := range m.replicas {
-		r.pump(now)
+		r.processReady(now)
 	}
 }
 
@@ -328,8 +328,8 @@
 	}
 }
 
-// running waits until the control goroutine runs.
-func (m *Member) running(ctx context.Context) error {
+// waitRunning waits until the control goroutine runs.
+func (m *Member) waitRunning(ctx context.Context) error {
 	select {
 	case <-m.ready:
 		return nil
@@ -342,15 +342,15 @@
 
 // Step receives log messages of other members.
 func (m *Member) Step(address string, frame *protocol.StepFrame) {
-	if int(frame.Group) >= len(m.replicas) || m.running(m.ctx) != nil {
+	if int(frame.Group) >= len(m.replicas) || m.waitRunning(m.ctx) != nil {
 		return
 	}
-	m.setFormed(frame.Group)
+	m.markFormed(frame.Group)
 	m.host.Post(func(now time.Time) { m.replicas[frame.Group].step(now, address, frame.Messages) })
 }
 
-// groupOf returns the group that a request is for.
-func (m *Member) groupOf(request *protocol.ProposeRequest) (*replica, error) {
+// replicaFor returns the group that a request is for.
+func (m *Member) replicaFor(request *protocol.ProposeRequest) (*replica, error) {
 	switch {
 	case request.Target == protocol.TargetRegistry:
 		return m.replicas[registryGroup], nil
@@ -365,10 +365,10 @@
 
 // Propose commits a command and returns its result once it is applied.
 func (m *Member) Propose(ctx context.Context, request *protocol.ProposeRequest) (*protocol.ProposeReply, error) {
-	if err := m.running(ctx); err != nil {
+	if err := m.waitRunning(ctx); err != nil {
 		return &protocol.ProposeReply{Status: protocol.ProposeNotLeader, Detail: err.Error()}, nil
 	}
-	r, err := m.groupOf(request)
+	r, err := m.replicaFor(request)
 	if err != nil {
 		return &protocol.ProposeReply{Status: protocol.ProposeRefused, Detail: err.Error()}, nil
 	}
@@ -397,7 +397,7 @@
 
 // Follow serves the nodes that follow this member.
 func (m *Member) Follow(stream rpc.FollowServerStream) error {
-	if err := m.running(stream.Context()); err != nil {
+	if err := m.waitRunning(stream.Context()); err != nil {
 		return err
 	}
 	return m.host.Follow(stream)
@@ -425,35 +425,35 @@
 
 // Stop hands the leadership over and ends the member.
 func (m *Member) Stop(ctx context.Context) error {
-	bounded, cancel := context.WithTimeout(ctx, transferTime)
+	bounded, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	if m.running(bounded) == nil {
-		m.handOver(bounded)
+	if m.waitRunning(bounded) == nil {
+		m.transferLeadership(bounded)
 	}
-	closing, cancelClosing := context.WithTimeout(ctx, memberStopTime)
+	closing, cancelClosing := context.WithTimeout(ctx, adminShutdownTimeout)
 	defer cancelClosing()
 	_ = m.admin.Shutdown(closing)
 	m.Kill()
 	return nil
 }
 
-// handOver transfers the leadership of all logs.
-func (m *Member) handOver(ctx context.Context) {
+// transferLeadership transfers the leadership of all logs.
+func (m *Member) transferLeadership(ctx context.Context) {
 	for ctx.Err() == nil {
 		leading := false
 		err := m.host.Query(ctx, func(now time.Time) {
 			for _, r := range m.replicas {
-				leading = r.transfer(now) || leading
+				leading = r.transferLeadership(now) || leading
 			}
 		})
 		if err != nil || !leading {
 			return
 		}
-		pause(ctx, transferPause)
+		sleep(ctx, transferPollInterval)
 	}
 }
 
-func pause(ctx context.Context, duration time.Duration) {
+func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -464,7 +464,7 @@
 
 // Kill ends the member at once, as a crash would.
 func (m *Member) Kill() {
-	m.kill.Do(func() {
+	m.killOnce.Do(func() {
 		m.cancel()
 		m.mesh.Stop()
 		_ = m.admin.Close()
--- a/control/membership.go
+++ b/control/membership.go
@@ -11,8 +11,8 @@
 	"sapphiregate.example/sapphiregate/protocol/operator"
 )
 
-// changePause is the wait before a change that must wait is tried again.
-const changePause = 50 * time.Millisecond
+// changeRetryDelay is the wait before a change that must wait is tried again.
+const changeRetryDelay = 50 * time.Millisecond
 
 // proposeMembership appends a membership change, unless it is already in effect. A reply of ProposeUncertain means that
 // the change is under way or must wait: ask again.
@@ -24,7 +24,7 @@
 	status := r.raft.Status()
 	switch {
 	case status.Role != raft.RoleLeader:
-		return r.notLeader()
+		return r.notLeaderReply()
 	case !status.MembershipPending && inEffect(status.Membership, change):
 		return &protocol.ProposeReply{Status: protocol.ProposeApplied}
 	}
@@ -32,7 +32,7 @@
 	if errors.IsAny(err, raft.ErrUnknownMember, raft.ErrInvalidChange) {
 		return &protocol.ProposeReply{Status: protocol.ProposeRefused, Detail: err.Error()}
 	}
-	return r.uncertain()
+	return r.uncertainReply()
 }
 
 // inEffect reports whether a membership already shows a change.
@@ -53,7 +53,7 @@
 }
 
 // AddMember adds a learner to all groups and promotes it once it has caught up.
-func (b backend) AddMember(ctx context.Context, r operator.AddMemberRequest) (operator.MembersAnswer, error) {
+func (b operatorBackend) AddMember(ctx context.Context, r operator.AddMemberRequest) (operator.MembersAnswer, error) {
 	if err := b.addMember(ctx, r.ID, r.Address, r.Zone, r.Learner); err != nil {
 		return operator.MembersAnswer{}, err
 	}
@@ -61,7 +61,7 @@
 }
 
 // RemoveMember removes a member from all groups.
-func (b backend) RemoveMember(ctx context.Context, r operator.RemoveMemberRequest) (operator.MembersAnswer, error) {
+func (b operatorBackend) RemoveMember(ctx context.Context, r operator.RemoveMemberRequest) (operator.MembersAnswer, error) {
 	members, err := b.Members(ctx)
 	if err != nil {
 		return members, err
@@ -79,7 +79,7 @@
 	// The registry comes last: until then the operators' list shows the member, so that a request that is cut short
 	// can be sent again.
 	for group := len(b.member.replicas) - 1; group >= 0; group-- {
-		if err := b.removeFrom(ctx, uint32(group), address); err != nil {
+		if err := b.removeFromGroup(ctx, uint32(group), address); err != nil {
 			return operator.MembersAnswer{}, err
 		}
 	}
@@ -88,14 +88,14 @@
 
 // ReplaceMember adds a member, waits until it holds and has synced everything that is committed, and only then removes
 // the old one: a second failure right after the repair loses nothing.
-func (b backend) ReplaceMember(ctx context.Context, r operator.ReplaceMemberRequest) (operator.MembersAnswer, error) {
+func (b operatorBackend) ReplaceMember(ctx context.Context, r operator.ReplaceMemberRequest) (operator.MembersAnswer, error) {
 	if err := b.addMember(ctx, r.New, r.Address, r.Zone, false); err != nil {
 		return operator.MembersAnswer{}, err
 	}
 	return b.RemoveMember(ctx, operator.RemoveMemberRequest{RequestID: r.RequestID, ID: r.Old})
 }
 
-func (b backend) addMember(ctx context.Context, id, address, zone string, learner bool) error {
+func (b operatorBackend) addMember(ctx context.Context, id, address, zone string, learner bool) error {
 	reply, err := b.member.identify(ctx, address)
 	if err != nil {
 		return &operator.Error{Kind: operator.ErrBadRequest, Message: "the new member does not answer: " + err.Error()}
@@ -106,7 +106,7 @@
 	for group, described := range reply.Groups {
 		member := raft.Member{ID: raft.MemberID(described.ID), Address: address, Zone: zone, Learner: true}
 		change := raft.MembershipChange{Kind: raft.ChangeAddLearner, Member: member}
-		if err := b.change(ctx, uint32(group), change); err != nil {
+		if err := b.commitChange(ctx, uint32(group), change); err != nil {
 			return err
 		}
 	}
@@ -117,15 +117,15 @@
 		change := raft.MembershipChange{
 			Kind: raft.ChangePromote, Member: raft.Member{ID: raft.MemberID(described.ID)},
 		}
-		if err := b.change(ctx, uint32(group), change); err != nil {
+		if err := b.commitChange(ctx, uint32(group), change); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// removeFrom removes the member with an address from one group. Its identity differs between groups.
-func (b backend) removeFrom(ctx context.Context, group uint32, address string) error {
+// removeFromGroup removes the member with an address from one group. Its identity differs between groups.
+func (b operatorBackend) removeFromGroup(ctx context.Context, group uint32, address string) error {
 	var id raft.MemberID
 	err := b.query(ctx, func(time.Time) {
 		for _, member := range b.member.replicas[group].raft.Status().Membership.Members {
@@ -137,12 +137,12 @@
 	if err != nil || id == "" {
 		return err
 	}
-	return b.change(ctx, group, raft.MembershipChange{Kind: raft.ChangeRemove, Member: raft.Member{ID: id}})
+	return b.commitChange(ctx, group, raft.MembershipChange{Kind: raft.ChangeRemove, Member: raft.Member{ID: id}})
 }
 
-// change commits one membership change, through the leader of the group. A change that is already in effect succeeds,
+// commitChange commits one membership commitChange, through the leader of the group. A commitChange that is already in effect succeeds,
 // so that requests can be sent again.
-func (b backend) change(ctx context.Context, group uint32, change raft.MembershipChange) error {
+func (b operatorBackend) commitChange(ctx context.Context, group uint32, change raft.MembershipChange) error {
 	data, err := protocol.Marshal(change)
 	if err != nil {
 		return err
@@ -160,12 +160,12 @@
 		case reply.Status == protocol.ProposeRefused:
 			return &operator.Error{Kind: operator.ErrBadRequest, Message: reply.Detail}
 		}
-		pause(ctx, changePause)
+		sleep(ctx, changeRetryDelay)
 	}
 	return &operator.Error{Kind: operator.ErrMembershipBusy, Message: "the change was not committed in time"}
 }
 
-func (b backend) proposeTo(
+func (b operatorBackend) proposeTo(
 	ctx context.Context, leader string, request *protocol.ProposeRequest,
 ) (*protocol.ProposeReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, identifyTimeout)
--- a/control/operators.go
+++ b/control/operatorapi.go
@@ -18,53 +18,53 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// backend serves operators' requests on one member.
-type backend struct{ member *Member }
+// operatorBackend serves operators' requests on one member.
+type operatorBackend struct{ member *Member }
 
-var _ operator.Backend = backend{}
+var _ operator.Backend = operatorBackend{}
 
 // Stage brings a bundle's parts into the registry. What this member's registry holds already is left out before the
 // request crosses zones to the leader; if the leader lacks the base of that difference, the whole bundle is sent.
-func (b backend) Stage(ctx context.Context, r operator.StageRequest) (operator.Decision, error) {
+func (b operatorBackend) Stage(ctx context.Context, r operator.StageRequest) (operator.Decision, error) {
 	stage := registry.Stage{Version: r.Version, Digest: r.Digest, Operator: r.Operator, Update: r.Update}
 	return b.stage(ctx, registry.Command{RequestID: r.RequestID, Stage: &stage})
 }
 
 // stage commits a command with a complete update.
-func (b backend) stage(ctx context.Context, whole registry.Command) (operator.Decision, error) {
-	reduced := whole
+func (b operatorBackend) stage(ctx context.Context, full registry.Command) (operator.Decision, error) {
+	reduced := full
 	err := b.query(ctx, func(time.Time) {
-		if difference, err := b.member.registry.registry.Shrink(*whole.Stage); err == nil {
+		if difference, err := b.member.registry.registry.Shrink(*full.Stage); err == nil {
 			reduced.Stage = &difference
 		}
 	})
 	if err != nil {
 		return operator.Decision{}, err
 	}
-	decision, err := b.decide(ctx, reduced)
-	if errors.Is(err, operator.ErrNotStaged) && len(reduced.Stage.Update) < len(whole.Stage.Update) {
-		return b.decide(ctx, whole)
+	decision, err := b.commitCommand(ctx, reduced)
+	if errors.Is(err, operator.ErrNotStaged) && len(reduced.Stage.Update) < len(full.Stage.Update) {
+		return b.commitCommand(ctx, full)
 	}
 	return decision, err
 }
 
 // Approve brings a staged bundle into force.
-func (b backend) Approve(ctx context.Context, r operator.ApproveRequest) (operator.Decision, error) {
-	return b.decide(ctx, registry.Command{RequestID: r.RequestID, Approve: &r.Approval})
+func (b operatorBackend) Approve(ctx context.Context, r operator.ApproveRequest) (operator.Decision, error) {
+	return b.commitCommand(ctx, registry.Command{RequestID: r.RequestID, Approve: &r.Approval})
 }
 
 // Replace approves a bundle if the version that it replaces is still the latest.
-func (b backend) Replace(ctx context.Context, r operator.ReplaceRequest) (operator.Decision, error) {
-	return b.decide(ctx, registry.Command{RequestID: r.RequestID, Approve: &r.Approval})
+func (b operatorBackend) Replace(ctx context.Context, r operator.ReplaceRequest) (operator.Decision, error) {
+	return b.commitCommand(ctx, registry.Command{RequestID: r.RequestID, Approve: &r.Approval})
 }
 
 // Stop withdraws a staged version or stops a rollout.
-func (b backend) Stop(ctx context.Context, r operator.StopRequest) (operator.Decision, error) {
-	return b.decide(ctx, registry.Command{RequestID: r.RequestID, Stop: &r.Stop})
+func (b operatorBackend) Stop(ctx context.Context, r operator.StopRequest) (operator.Decision, error) {
+	return b.commitCommand(ctx, registry.Command{RequestID: r.RequestID, Stop: &r.Stop})
 }
 
-// decide commits a registry command, through the leader if this member is not the one.
-func (b backend) decide(ctx context.Context, command registry.Command) (operator.Decision, error) {
+// commitCommand commits a registry command, through the leader if this member is not the one.
+func (b operatorBackend) commitCommand(ctx context.Context, command registry.Command) (operator.Decision, error) {
 	data, err := registry.EncodeCommand(command)
 	if err != nil {
 		return operator.Decision{}, &operator.Error{Kind: operator.ErrBadRequest, Message: err.Error()}
@@ -97,7 +97,7 @@
 }
 
 // notLeader names the operator API of the leader, which only the leader itself knows.
-func (b backend) notLeader(ctx context.Context, mesh string) error {
+func (b operatorBackend) notLeader(ctx context.Context, mesh string) error {
 	if mesh == "" {
 		return &operator.Error{Kind: operator.ErrNoQuorum, Message: "no leader is known"}
 	}
@@ -109,15 +109,15 @@
 }
 
 // query runs a read on the control goroutine.
-func (b backend) query(ctx context.Context, read func(now time.Time)) error {
-	if err := b.member.running(ctx); err != nil {
+func (b operatorBackend) query(ctx context.Context, read func(now time.Time)) error {
+	if err := b.member.waitRunning(ctx); err != nil {
 		return &operator.Error{Kind: operator.ErrNoQuorum, Message: err.Error()}
 	}
 	return b.member.host.Query(ctx, read)
 }
 
 // Status describes the group and the rollout.
-func (b backend) Status(ctx context.Context) (operator.Status, error) {
+func (b operatorBackend) Status(ctx context.Context) (operator.Status, error) {
 	m := b.member
 	status := operator.Status{Member: m.ID(), ConfirmedAgeMs: operator.AgeUnknown, Keyring: m.options.Keys.Digest()}
 	err := b.query(ctx, func(now time.Time) {
@@ -168,7 +168,7 @@
 }
 
 // History lists the decisions, newest first.
-func (b backend) History(ctx context.Context, r operator.HistoryRequest) (operator.HistoryAnswer, error) {
+func (b operatorBackend) History(ctx context.Context, r operator.HistoryRequest) (operator.HistoryAnswer, error) {
 	limit := r.Limit
 	if limit <= 0 {
 		limit = operator.DefaultHistoryLimit
@@ -181,7 +181,7 @@
 }
 
 // Members lists the control members.
-func (b backend) Members(ctx context.Context) (operator.MembersAnswer, error) {
+func (b operatorBackend) Members(ctx context.Context) (operator.MembersAnswer, error) {
 	var status raft.Status
 	if err := b.query(ctx, func(time.Time) { status = b.member.replicas[registryGroup].raft.Status() }); err != nil {
 		return operator.MembersAnswer{}, err
@@ -219,8 +219,8 @@
 }
 
 // Quarantine lists suspect and quarantined requests.
-func (b backend) Quarantine(ctx context.Context) (operator.QuarantineAnswer, error) {
-	if err := b.member.running(ctx); err != nil {
+func (b operatorBackend) Quarantine(ctx context.Context) (operator.QuarantineAnswer, error) {
+	if err := b.member.waitRunning(ctx); err != nil {
 		return operator.QuarantineAnswer{}, &operator.Error{Kind: operator.ErrNoQuorum, Message: err.Error()}
 	}
 	now := time.Now()
@@ -235,10 +235,10 @@
 }
 
 // ClearQuarantine lifts the quarantine of fingerprints, or of all.
-func (b backend) ClearQuarantine(
+func (b operatorBackend) ClearQuarantine(
 	ctx context.Context, r operator.ClearQuarantineRequest,
 ) (operator.ClearQuarantineAnswer, error) {
-	if err := b.member.running(ctx); err != nil {
+	if err := b.member.waitRunning(ctx); err != nil {
 		return operator.ClearQuarantineAnswer{}, &operator.Error{Kind: operator.ErrNoQuorum, Message: err.Error()}
 	}
 	var fingerprints []quarantine.Fingerprint
@@ -261,7 +261,7 @@
 }
 
 // Dump returns the member's whole state.
-func (b backend) Dump(ctx context.Context) (operator.DumpAnswer, error) {
+func (b operatorBackend) Dump(ctx context.Context) (operator.DumpAnswer, error) {
 	dump, err := b.member.dump(ctx)
 	if err != nil {
 		return operator.DumpAnswer{}, err
--- a/control/peers.go
+++ b/control/rafttransport.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// peerQueueLength bounds the messages that wait for one member. The log repeats what is dropped.
-	peerQueueLength = 4096
-	// peerRetryDelay is the wait before a broken stream is opened again.
-	peerRetryDelay = 50 * time.Millisecond
-	// peerBatch bounds the messages of one frame.
-	peerBatch = 64
+	// senderQueueLength bounds the messages that wait for one member. The log repeats what is dropped.
+	senderQueueLength = 4096
+	// streamRetryDelay is the wait before a broken stream is opened again.
+	streamRetryDelay = 50 * time.Millisecond
+	// maxFrameMessages bounds the messages of one frame.
+	maxFrameMessages = 64
 	// maxSenders bounds the goroutines for members that are not listed; a deployment has at most 19 members.
 	maxSenders = 64
 )
 
-// peers sends log messages to the other members. The control goroutine uses it; one goroutine per member sends.
-type peers struct {
+// raftTransport sends log messages to the other members. The control goroutine uses it; one goroutine per member sends.
+type raftTransport struct {
 	group   uint32
 	self    raft.MemberID
 	address string
 	pool    *rpc.Pool
 	ctx     context.Context
 	senders map[raft.MemberID]*sender
-	running sync.WaitGroup
+	sending sync.WaitGroup
 }
 
 // sender carries messages to one address.
@@ -39,12 +39,12 @@
 	cancel  context.CancelFunc
 }
 
-func newPeers(ctx context.Context, group uint32, self raft.MemberID, address string, pool *rpc.Pool) *peers {
-	return &peers{group: group, self: self, address: address, pool: pool, ctx: ctx, senders: make(map[raft.MemberID]*sender)}
+func newRaftTransport(ctx context.Context, group uint32, self raft.MemberID, address string, pool *rpc.Pool) *raftTransport {
+	return &raftTransport{group: group, self: self, address: address, pool: pool, ctx: ctx, senders: make(map[raft.MemberID]*sender)}
 }
 
 // update starts and stops senders for a membership.
-func (p *peers) update(membership raft.Membership) {
+func (p *raftTransport) update(membership raft.Membership) {
 	for id, current := range p.senders {
 		member, ok := membership.Find(id)
 		if !ok || member.Address != current.address {
@@ -53,24 +53,24 @@
 		}
 	}
 	for _, member := range membership.Members {
-		p.learn(member.ID, member.Address)
+		p.addSender(member.ID, member.Address)
 	}
 }
 
-// learn starts a sender to a member unless there is one. A replica without a membership, such as one that was just
+// addSender starts a sender to a member unless there is one. A replica without a membership, such as one that was just
 // added or that founds its group after the others, learns from the messages that it gets where to send its answers.
-func (p *peers) learn(id raft.MemberID, address string) {
+func (p *raftTransport) addSender(id raft.MemberID, address string) {
 	if id == p.self || address == "" || p.senders[id] != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(p.ctx)
-	s := &sender{address: address, queue: make(chan raft.Message, peerQueueLength), cancel: cancel}
+	s := &sender{address: address, queue: make(chan raft.Message, senderQueueLength), cancel: cancel}
 	p.senders[id] = s
-	p.running.Go(func() { p.run(ctx, s) })
+	p.sending.Go(func() { p.run(ctx, s) })
 }
 
 // send queues messages; it drops those of a member that does not keep up.
-func (p *peers) send(messages []raft.Message) {
+func (p *raftTransport) send(messages []raft.Message) {
 	for _, message := range messages {
 		s := p.senders[message.To]
 		if s == nil {
@@ -83,19 +83,19 @@
 	}
 }
 
-func (p *peers) run(ctx context.Context, s *sender) {
+func (p *raftTransport) run(ctx context.Context, s *sender) {
 	defer s.cancel()
 	for ctx.Err() == nil {
-		p.stream(ctx, s)
+		p.sendUntilBroken(ctx, s)
 		select {
 		case <-ctx.Done():
-		case <-time.After(peerRetryDelay):
+		case <-time.After(streamRetryDelay):
 		}
 	}
 }
 
-// stream sends until the stream breaks.
-func (p *peers) stream(ctx context.Context, s *sender) {
+// sendUntilBroken sends until the sendUntilBroken breaks.
+func (p *raftTransport) sendUntilBroken(ctx context.Context, s *sender) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream, err := p.pool.Step(ctx, s.address)
@@ -110,7 +110,7 @@
 		case <-stream.Context().Done():
 			return
 		case message := <-s.queue:
-			frame := s.frame(p.group, message)
+			frame := s.nextFrame(p.group, message)
 			frame.Address, address = address, ""
 			if err := stream.Send(frame); err != nil {
 				return
@@ -119,10 +119,10 @@
 	}
 }
 
-// frame gathers the messages that are already waiting.
-func (s *sender) frame(group uint32, first raft.Message) *protocol.StepFrame {
+// nextFrame gathers the messages that are already waiting.
+func (s *sender) nextFrame(group uint32, first raft.Message) *protocol.StepFrame {
 	frame := &protocol.StepFrame{Group: group, Messages: []raft.Message{first}}
-	for len(frame.Messages) < peerBatch {
+	for len(frame.Messages) < maxFrameMessages {
 		select {
 		case next := <-s.queue:
 			frame.Messages = append(frame.Messages, next)
--- a/control/replica.go
+++ b/control/replica.go
@@ -24,26 +24,26 @@
 	// address is this member's mesh address.
 	address string
 	logger  zerolog.Logger
-	machine machine
+	machine stateMachine
 	log     *wal.Log
 	pool    *rpc.Pool
 	// post runs a function on the control goroutine; it returns false once the member has stopped.
 	post func(func(now time.Time)) bool
-	// failed stops the member.
-	failed func(error)
-	// applied is told that entries or a snapshot were applied; it may be nil.
-	applied func(now time.Time)
-	// membershipChanged is told of a new membership; it may be nil.
-	membershipChanged func(now time.Time, membership raft.Membership)
-	snapshotEntries   uint64
+	// onFailure stops the member.
+	onFailure func(error)
+	// onApplied is told that entries or a snapshot were onApplied; it may be nil.
+	onApplied func(now time.Time)
+	// onMembershipChange is told of a new membership; it may be nil.
+	onMembershipChange func(now time.Time, membership raft.Membership)
+	snapshotEntries    uint64
 
 	raft          *raft.Node
-	peers         *peers
+	transport     *raftTransport
 	membership    raft.Membership
 	proposals     map[uint64]proposal
-	writes        chan write
-	writing       bool
-	broken        bool
+	writes        chan writeJob
+	writeInFlight bool
+	hasFailed     bool
 	lastApplied   uint64
 	snapshotIndex uint64
 }
@@ -54,8 +54,8 @@
 	done chan *protocol.ProposeReply
 }
 
-// write is one batch for the writing goroutine.
-type write struct {
+// writeJob is one batch for the writing goroutine.
+type writeJob struct {
 	ready    raft.Ready
 	snapshot *raft.Snapshot
 }
@@ -72,12 +72,12 @@
 	r.log = log
 	r.id = recovered.Identity
 	r.proposals = make(map[uint64]proposal)
-	r.writes = make(chan write, writeQueueLength)
+	r.writes = make(chan writeJob, writeQueueLength)
 	return recovered, nil
 }
 
-// begin starts the log from its durable state.
-func (r *replica) begin(ctx context.Context, now time.Time, config raft.Config, recovered wal.Recovered) error {
+// start starts the log from its durable state.
+func (r *replica) start(ctx context.Context, now time.Time, config raft.Config, recovered wal.Recovered) error {
 	if err := r.machine.restore(recovered.Snapshot.Data); err != nil {
 		return errors.Wrapf(ErrStorage, "%v", err)
 	}
@@ -92,12 +92,12 @@
 		return errors.Wrapf(ErrStorage, "group %d: %v", r.group, err)
 	}
 	r.raft = node
-	r.peers = newPeers(ctx, r.group, r.id, r.address, r.pool)
-	r.noteMembership(now)
+	r.transport = newRaftTransport(ctx, r.group, r.id, r.address, r.pool)
+	r.updateMembership(now)
 	return nil
 }
 
-func (r *replica) leads() bool { return r.raft.Status().Role == raft.RoleLeader }
+func (r *replica) isLeader() bool { return r.raft.Status().Role == raft.RoleLeader }
 
 // leaderAddress returns the mesh address of the leader as far as this replica knows.
 func (r *replica) leaderAddress() string {
@@ -108,14 +108,14 @@
 	return ""
 }
 
-func (r *replica) notLeader() *protocol.ProposeReply {
+func (r *replica) notLeaderReply() *protocol.ProposeReply {
 	return &protocol.ProposeReply{Status: protocol.ProposeNotLeader, Leader: r.leaderAddress()}
 }
 
 // propose appends a command to the log; done receives exactly one reply.
 func (r *replica) propose(now time.Time, command []byte, done chan *protocol.ProposeReply) {
-	if !r.leads() {
-		done <- r.notLeader()
+	if !r.isLeader() {
+		done <- r.notLeaderReply()
 		return
 	}
 	entry, err := r.machine.prepare(now.UnixMilli(), command)
@@ -126,7 +126,7 @@
 	index, term, err := r.raft.Propose(now, entry)
 	switch {
 	case errors.IsAny(err, raft.ErrNotLeader, raft.ErrTransferring):
-		done <- r.notLeader()
+		done <- r.notLeaderReply()
 	case err != nil:
 		done <- &protocol.ProposeReply{Status: protocol.ProposeRefused, Detail: err.Error()}
 	default:
@@ -137,8 +137,8 @@
 // step takes messages of the member at an address.
 func (r *replica) step(now time.Time, address string, messages []raft.Message) {
 	for _, message := range messages {
-		if message.To == r.id && len(r.peers.senders) < maxSenders {
-			r.peers.learn(message.From, address)
+		if message.To == r.id && len(r.transport.senders) < maxSenders {
+			r.transport.addSender(message.From, address)
 		}
 		if err := r.raft.Step(now, message); err != nil {
 			r.logger.Debug().Err(err).Str("from", string(message.From)).Msg("ignored a log message")
@@ -146,53 +146,53 @@
 	}
 }
 
-// pump hands the next batch of the log to the writing goroutine. The disk never blocks the control goroutine; while a
+// processReady hands the next batch of the log to the writing goroutine. The disk never blocks the control goroutine; while a
 // write runs, further proposals gather and share the next synced write.
-func (r *replica) pump(now time.Time) {
-	for !r.writing && !r.broken && r.raft.HasReady() {
+func (r *replica) processReady(now time.Time) {
+	for !r.writeInFlight && !r.hasFailed && r.raft.HasReady() {
 		ready := r.raft.Ready()
-		r.peers.send(ready.Early)
+		r.transport.send(ready.Early)
 		if !ready.MustSync {
-			r.finish(now, ready)
+			r.finishBatch(now, ready)
 			continue
 		}
-		r.writing = true
-		r.writes <- write{ready: ready}
+		r.writeInFlight = true
+		r.writes <- writeJob{ready: ready}
 	}
-	if r.writing && !r.broken {
+	if r.writeInFlight && !r.hasFailed {
 		// A slow write must not stop heartbeats.
-		r.peers.send(r.raft.TakeEarly())
+		r.transport.send(r.raft.TakeEarly())
 	}
-	r.dropStaleProposals()
+	r.endProposalsAfterLeadership()
 }
 
-// finish completes a batch that is durable.
-func (r *replica) finish(now time.Time, ready raft.Ready) {
-	r.peers.send(ready.Messages)
+// finishBatch completes a batch that is durable.
+func (r *replica) finishBatch(now time.Time, ready raft.Ready) {
+	r.transport.send(ready.Messages)
 	if ready.Snapshot != nil {
-		r.install(now, *ready.Snapshot)
+		r.installSnapshot(now, *ready.Snapshot)
 	}
 	r.apply(now, ready.Committed)
 	r.raft.Advance(ready)
-	r.noteMembership(now)
-	r.compact()
+	r.updateMembership(now)
+	r.saveSnapshotIfDue()
 }
 
-func (r *replica) install(now time.Time, snapshot raft.Snapshot) {
+func (r *replica) installSnapshot(now time.Time, snapshot raft.Snapshot) {
 	if err := r.machine.restore(snapshot.Data); err != nil {
 		r.fail(errors.Wrapf(ErrStorage, "install snapshot: %v", err))
 		return
 	}
 	r.snapshotIndex = snapshot.Index
 	r.lastApplied = snapshot.Index
-	r.notify(now)
+	r.notifyApplied(now)
 }
 
 func (r *replica) apply(now time.Time, entries []raft.Entry) {
 	for _, entry := range entries {
 		r.lastApplied = entry.Index
 		if entry.Kind != raft.EntryCommand {
-			r.settle(entry, nil)
+			r.completeProposal(entry, nil)
 			continue
 		}
 		result, err := r.machine.apply(entry.Index, entry.Data)
@@ -200,63 +200,63 @@
 			// Every member refuses a malformed entry alike.
 			r.logger.Error().Err(err).Uint64("index", entry.Index).Msg("skipped a malformed log entry")
 		}
-		r.settle(entry, result)
+		r.completeProposal(entry, result)
 	}
 	if len(entries) > 0 {
-		r.notify(now)
+		r.notifyApplied(now)
 	}
 }
 
-func (r *replica) notify(now time.Time) {
-	if r.applied != nil {
-		r.applied(now)
+func (r *replica) notifyApplied(now time.Time) {
+	if r.onApplied != nil {
+		r.onApplied(now)
 	}
 }
 
-// settle answers the proposer of an applied entry. Another term at its index means that the entry of that proposal was
+// completeProposal answers the proposer of an applied entry. Another term at its index means that the entry of that proposal was
 // replaced.
-func (r *replica) settle(entry raft.Entry, result []byte) {
+func (r *replica) completeProposal(entry raft.Entry, result []byte) {
 	waiting, ok := r.proposals[entry.Index]
 	if !ok {
 		return
 	}
 	delete(r.proposals, entry.Index)
 	if waiting.term != entry.Term || result == nil {
-		waiting.done <- r.uncertain()
+		waiting.done <- r.uncertainReply()
 		return
 	}
 	waiting.done <- &protocol.ProposeReply{Status: protocol.ProposeApplied, Result: result}
 }
 
-func (r *replica) uncertain() *protocol.ProposeReply {
+func (r *replica) uncertainReply() *protocol.ProposeReply {
 	return &protocol.ProposeReply{Status: protocol.ProposeUncertain, Leader: r.leaderAddress()}
 }
 
-// dropStaleProposals answers proposals that this replica can no longer see through, because it does not lead any more.
-func (r *replica) dropStaleProposals() {
-	if len(r.proposals) > 0 && !r.leads() {
-		r.abandon()
+// endProposalsAfterLeadership answers proposals that this replica can no longer see through, because it does not lead any more.
+func (r *replica) endProposalsAfterLeadership() {
+	if len(r.proposals) > 0 && !r.isLeader() {
+		r.endOpenProposals()
 	}
 }
 
-// abandon answers all open proposals.
-func (r *replica) abandon() {
+// endOpenProposals answers all open proposals.
+func (r *replica) endOpenProposals() {
 	for index, waiting := range r.proposals {
 		delete(r.proposals, index)
-		waiting.done <- r.uncertain()
+		waiting.done <- r.uncertainReply()
 	}
 }
 
-// noteMembership starts and stops the senders to other members.
-func (r *replica) noteMembership(now time.Time) {
+// updateMembership starts and stops the senders to other members.
+func (r *replica) updateMembership(now time.Time) {
 	membership := r.raft.Status().Membership
 	if sameMembers(membership, r.membership) {
 		return
 	}
 	r.membership = membership
-	r.peers.update(membership)
-	if r.membershipChanged != nil {
-		r.membershipChanged(now, membership)
+	r.transport.update(membership)
+	if r.onMembershipChange != nil {
+		r.onMembershipChange(now, membership)
 	}
 }
 
@@ -272,9 +272,9 @@
 	return true
 }
 
-// compact saves a snapshot after enough entries, so that the log and the time of a restart stay bounded.
-func (r *replica) compact() {
-	if r.broken || r.writing || r.lastApplied-r.snapshotIndex < r.snapshotEntries {
+// saveSnapshotIfDue saves a snapshot after enough entries, so that the log and the time of a restart stay bounded.
+func (r *replica) saveSnapshotIfDue() {
+	if r.hasFailed || r.writeInFlight || r.lastApplied-r.snapshotIndex < r.snapshotEntries {
 		return
 	}
 	data, err := r.machine.snapshot()
@@ -288,8 +288,8 @@
 		return
 	}
 	r.snapshotIndex = r.lastApplied
-	r.writing = true
-	r.writes <- write{snapshot: &snapshot}
+	r.writeInFlight = true
+	r.writes <- writeJob{snapshot: &snapshot}
 }
 
 // writeLoop is the only goroutine that writes to the replica's folder.
@@ -300,14 +300,14 @@
 			return
 		case job := <-r.writes:
 			err := r.persist(job)
-			if !r.post(func(now time.Time) { r.written(now, job, err) }) {
+			if !r.post(func(now time.Time) { r.handleWritten(now, job, err) }) {
 				return
 			}
 		}
 	}
 }
 
-func (r *replica) persist(job write) error {
+func (r *replica) persist(job writeJob) error {
 	if job.snapshot != nil {
 		return r.log.SaveSnapshot(*job.snapshot)
 	}
@@ -319,13 +319,13 @@
 	return r.log.Append(job.ready.HardState, job.ready.Entries)
 }
 
-func (r *replica) written(now time.Time, job write, err error) {
-	r.writing = false
+func (r *replica) handleWritten(now time.Time, job writeJob, err error) {
+	r.writeInFlight = false
 	switch {
 	case err != nil:
 		r.fail(errors.Wrapf(ErrStorage, "%v", err))
 	case job.snapshot == nil:
-		r.finish(now, job.ready)
+		r.finishBatch(now, job.ready)
 	default:
 		if err := r.raft.Compact(*job.snapshot); err != nil {
 			r.logger.Warn().Err(err).Msg("kept the log before a snapshot")
@@ -335,15 +335,15 @@
 
 // fail stops the member: without its disk it can keep no promise.
 func (r *replica) fail(err error) {
-	if r.broken {
+	if r.hasFailed {
 		return
 	}
-	r.broken = true
-	r.failed(err)
+	r.hasFailed = true
+	r.onFailure(err)
 }
 
-// transfer hands the leadership to the voter with the longest log. It reports whether this replica still leads.
-func (r *replica) transfer(now time.Time) bool {
+// transferLeadership hands the leadership to the voter with the longest log. It reports whether this replica still leads.
+func (r *replica) transferLeadership(now time.Time) bool {
 	status := r.raft.Status()
 	if status.Role != raft.RoleLeader {
 		return false
@@ -369,8 +369,8 @@
 
 // close ends the replica after the control goroutine has ended.
 func (r *replica) close() {
-	if r.peers != nil {
-		r.peers.running.Wait()
+	if r.transport != nil {
+		r.transport.sending.Wait()
 	}
 	if r.log != nil {
 		_ = r.log.Close()
--- a/control/machine.go
+++ b/control/statemachine.go
@@ -9,8 +9,8 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// machine is a replicated state machine behind one log. The control goroutine owns it.
-type machine interface {
+// stateMachine is a replicated state stateMachine behind one log. The control goroutine owns it.
+type stateMachine interface {
 	// prepare checks a proposal on the leader and returns the content of its log entry.
 	prepare(nowMs int64, command []byte) ([]byte, error)
 	// apply executes a committed entry and returns the encoded result.
@@ -20,18 +20,18 @@
 	restore(data []byte) error
 }
 
-// registryMachine holds approvals and bundles.
-type registryMachine struct {
+// registryStateMachine holds approvals and bundles.
+type registryStateMachine struct {
 	keys     *bundle.Keyring
 	registry *registry.Registry
 }
 
-func newRegistryMachine(keys *bundle.Keyring) *registryMachine {
-	return &registryMachine{keys: keys, registry: registry.New(keys)}
+func newRegistryStateMachine(keys *bundle.Keyring) *registryStateMachine {
+	return &registryStateMachine{keys: keys, registry: registry.New(keys)}
 }
 
 // prepare reduces a stage to what the registry lacks, so that the log carries each part once.
-func (s *registryMachine) prepare(_ int64, data []byte) ([]byte, error) {
+func (s *registryStateMachine) prepare(_ int64, data []byte) ([]byte, error) {
 	command, err := registry.DecodeCommand(data)
 	if err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	return registry.EncodeCommand(command)
 }
 
-func (s *registryMachine) apply(index uint64, data []byte) ([]byte, error) {
+func (s *registryStateMachine) apply(index uint64, data []byte) ([]byte, error) {
 	command, err := registry.DecodeCommand(data)
 	if err != nil {
 		return nil, err
@@ -54,9 +54,9 @@
 	return protocol.Marshal(s.registry.Apply(index, command))
 }
 
-func (s *registryMachine) snapshot() ([]byte, error) { return s.registry.Snapshot() }
+func (s *registryStateMachine) snapshot() ([]byte, error) { return s.registry.Snapshot() }
 
-func (s *registryMachine) restore(data []byte) error {
+func (s *registryStateMachine) restore(data []byte) error {
 	if len(data) == 0 {
 		s.registry = registry.New(s.keys)
 		return nil
@@ -69,18 +69,18 @@
 	return nil
 }
 
-// ledgerMachine holds irreversible calls.
-type ledgerMachine struct {
+// ledgerStateMachine holds irreversible calls.
+type ledgerStateMachine struct {
 	config ledger.Config
 	ledger *ledger.Ledger
 }
 
-func newLedgerMachine(config ledger.Config) *ledgerMachine {
-	return &ledgerMachine{config: config, ledger: ledger.New(config)}
+func newLedgerStateMachine(config ledger.Config) *ledgerStateMachine {
+	return &ledgerStateMachine{config: config, ledger: ledger.New(config)}
 }
 
 // prepare sets the leader's time, so that all replicas apply the same one.
-func (s *ledgerMachine) prepare(nowMs int64, data []byte) ([]byte, error) {
+func (s *ledgerStateMachine) prepare(nowMs int64, data []byte) ([]byte, error) {
 	var command ledger.Command
 	if err := protocol.Unmarshal(data, &command); err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 	return protocol.Marshal(command)
 }
 
-func (s *ledgerMachine) apply(_ uint64, data []byte) ([]byte, error) {
+func (s *ledgerStateMachine) apply(_ uint64, data []byte) ([]byte, error) {
 	var command ledger.Command
 	if err := protocol.Unmarshal(data, &command); err != nil {
 		return nil, err
@@ -97,9 +97,9 @@
 	return protocol.Marshal(s.ledger.Apply(command))
 }
 
-func (s *ledgerMachine) snapshot() ([]byte, error) { return s.ledger.Snapshot() }
+func (s *ledgerStateMachine) snapshot() ([]byte, error) { return s.ledger.Snapshot() }
 
-func (s *ledgerMachine) restore(data []byte) error {
+func (s *ledgerStateMachine) restore(data []byte) error {
 	if len(data) == 0 {
 		s.ledger = ledger.New(s.config)
 		return nil
