--- a/coordination/execution/execution.go
+++ b/coordination/execution/execution.go
@@ -74,7 +74,7 @@
 	Outcome Outcome
 	Reason  Reason
 	// Response is set if Outcome is OutcomeDone.
-	Response *ledger.Answer
+	Response *ledger.Response
 }
 
 // FreeSlot frees the admission slot. It is returned exactly once for each admitted call.
@@ -117,7 +117,7 @@
 	// DefaultReleaseTimeout is much longer than an election of the ledger group, which takes about 1 s.
 	DefaultReleaseTimeout = time.Minute
 	// DefaultMaxResponseBytes is the limit that the ledger itself applies.
-	DefaultMaxResponseBytes = ledger.DefaultMaxAnswerBytes
+	DefaultMaxResponseBytes = ledger.DefaultMaxResponseBytes
 )
 
 // maxBackoffDoublings limits how often the intervals between messages to the ledger double.
@@ -160,7 +160,7 @@
 	unrefusedClaims int
 	// pendingReply is returned once the claim is released, so that a retry by the caller finds the key free.
 	pendingReply     *Reply
-	recordedResponse ledger.Answer
+	recordedResponse ledger.Response
 	// resendAt is when the last message to the ledger is sent again, and resends counts how often that was done.
 	resendAt time.Time
 	resends  int
@@ -197,7 +197,7 @@
 		return append(m.freeSlot(), m.sendRelease(), m.sendQuery())
 	case ledger.Done:
 		m.claimVoid = true
-		return m.finish(now, Reply{Outcome: OutcomeDone, Response: r.Answer})
+		return m.finish(now, Reply{Outcome: OutcomeDone, Response: r.Response})
 	case ledger.KeyReused:
 		m.claimVoid = true
 		return m.finish(now, notRunReply(ReasonKeyReused))
@@ -242,7 +242,7 @@
 	switch r.Status {
 	case ledger.Done:
 		m.claimVoid = true
-		return m.finish(now, Reply{Outcome: OutcomeDone, Response: r.Answer})
+		return m.finish(now, Reply{Outcome: OutcomeDone, Response: r.Response})
 	case ledger.Released, ledger.Absent:
 		return m.finish(now, notRunReply(ReasonReleased))
 	case ledger.Claimed:
@@ -273,7 +273,7 @@
 }
 
 // UpstreamResponse delivers the complete response of the upstream.
-func (m *StateMachine) UpstreamResponse(now time.Time, response ledger.Answer) []Output {
+func (m *StateMachine) UpstreamResponse(now time.Time, response ledger.Response) []Output {
 	ok := invariant.Check(m.written, invariant.FalseNotRun, "response to a call that was not written to the upstream",
 		map[string]any{"key": m.config.Claim.Key})
 	if !ok || m.state != running {
@@ -281,7 +281,7 @@
 	}
 	m.recordedResponse = response
 	if response.Dropped || response.Size() > m.config.MaxResponseBytes {
-		m.recordedResponse = ledger.Answer{Status: response.Status, Dropped: true}
+		m.recordedResponse = ledger.Response{Status: response.Status, Dropped: true}
 	}
 	m.enter(recording, now)
 	outputs := m.reply(Reply{Outcome: OutcomeDone, Response: &response})
--- a/coordination/execution/execution_test.go
+++ b/coordination/execution/execution_test.go
@@ -99,7 +99,7 @@
 		r := output.(ledger.Result)
 		ok := r.Status == unknownStatus || r.Status == status
 		if ok && r.Status == ledger.Done {
-			ok = string(r.Answer.Body) == next.response
+			ok = string(r.Response.Body) == next.response
 		}
 		return ok, next
 	},
--- a/coordination/execution/simulation_test.go
+++ b/coordination/execution/simulation_test.go
@@ -214,7 +214,7 @@
 		s.after(delay, func() { s.input(c, failed) })
 	default:
 		s.recordRun(c)
-		response := ledger.Answer{Status: 201, Body: []byte(fmt.Sprint(c.claim.Executor, c.claim.Incarnation, c.claim.Attempt))}
+		response := ledger.Response{Status: 201, Body: []byte(fmt.Sprint(c.claim.Executor, c.claim.Incarnation, c.claim.Attempt))}
 		s.after(delay, func() {
 			s.input(c, func() []execution.Output { return c.UpstreamResponse(now(), response) })
 		})
--- a/coordination/execution/transitions.go
+++ b/coordination/execution/transitions.go
@@ -110,7 +110,7 @@
 func (m *StateMachine) sendRecord() Output {
 	c := m.config.Claim
 	return SendRecord{Record: ledger.Record{
-		Key: c.Key, Executor: c.Executor, Incarnation: c.Incarnation, Attempt: c.Attempt, Answer: m.recordedResponse,
+		Key: c.Key, Executor: c.Executor, Incarnation: c.Incarnation, Attempt: c.Attempt, Response: m.recordedResponse,
 	}}
 }
 
