--- a/control/staff.go
+++ b/control/staff.go
@@ -34,7 +34,7 @@
 	if m.options.Voters == 0 || !r.leads() {
 		return
 	}
-	change, ok := membership.Next(now, r.raft.Status(), &m.candidates, m.options.Voters)
+	change, ok := membership.NextChange(now, r.raft.Status(), &m.candidates, m.options.Voters)
 	if !ok {
 		return
 	}
@@ -64,7 +64,7 @@
 		reply.Members = memberAddresses(status)
 		if !reply.Member {
 			m.candidates.Announce(membership.Candidate{
-				ID: raft.MemberID(request.ID), Address: request.Address, Zone: request.Zone, Seen: now,
+				ID: raft.MemberID(request.ID), Address: request.Address, Zone: request.Zone, LastSeen: now,
 			})
 		}
 	})
--- a/coordination/detector/detector.go
+++ b/coordination/detector/detector.go
@@ -11,13 +11,13 @@
 	// probeAfter is the time without a response after which an instance with waiting calls is probed. It is a few times the
 	// duration of an average call, so that a working instance is rarely probed.
 	probeAfter = 400 * time.Millisecond
-	// maxPause bounds the growing pause between probes of an instance that responds to them but takes long over its calls.
-	maxPause = 4 * probeAfter
-	// failedPause is the pause between probes of a failed instance: it gets no calls, so nothing else shows its recovery.
-	failedPause = 300 * time.Millisecond
-	// giveUpAfter ends the probes of a failed instance. It is several times as long as the distribution tree needs to
+	// maxProbeInterval bounds the growing pause between probes of an instance that responds to them but takes long over its calls.
+	maxProbeInterval = 4 * probeAfter
+	// failedProbeInterval is the pause between probes of a failed instance: it gets no calls, so nothing else shows its recovery.
+	failedProbeInterval = 300 * time.Millisecond
+	// stopProbingAfter ends the probes of a failed instance. It is several times as long as the distribution tree needs to
 	// publish the loss of an instance; a later return is published as well.
-	giveUpAfter = 20 * time.Second
+	stopProbingAfter = 20 * time.Second
 )
 
 // Change tells how the state of an instance changed.
@@ -25,8 +25,8 @@
 
 // The changes.
 const (
-	// None means that the state is as before.
-	None Change = iota
+	// Unchanged means that the state is as before.
+	Unchanged Change = iota
 	// Failed means that the instance stopped responding.
 	Failed
 	// Recovered means that a failed instance responds again.
@@ -35,85 +35,85 @@
 
 // Detector follows one instance. The zero value is ready.
 type Detector struct {
-	// waiting holds when each call without a response was sent.
-	waiting map[uint64]time.Time
-	// heard is the time of the last response to a call or a probe.
-	heard time.Time
-	pause time.Duration
+	// sentAt holds when each call without a response was sent.
+	sentAt map[uint64]time.Time
+	// lastResponse is the time of the last response to a call or a probe.
+	lastResponse  time.Time
+	probeInterval time.Duration
 	// probing is set while a probe is under way; probed is when the last one began.
-	probing bool
-	probed  time.Time
-	// failed is when the instance was found to have failed; zero if it has not.
-	failed time.Time
+	probing      bool
+	probeStarted time.Time
+	// failedSince is when the instance was found to have failedSince; zero if it has not.
+	failedSince time.Time
 }
 
-// Sent notes that a call was sent.
-func (d *Detector) Sent(now time.Time, call uint64) {
-	if d.waiting == nil {
-		d.waiting = make(map[uint64]time.Time)
+// CallSent notes that a call was sent.
+func (d *Detector) CallSent(now time.Time, call uint64) {
+	if d.sentAt == nil {
+		d.sentAt = make(map[uint64]time.Time)
 	}
-	d.waiting[call] = now
+	d.sentAt[call] = now
 }
 
-// Ended notes that a call no longer waits for a response.
-func (d *Detector) Ended(call uint64) { delete(d.waiting, call) }
+// CallEnded notes that a call no longer waits for a response.
+func (d *Detector) CallEnded(call uint64) { delete(d.sentAt, call) }
 
-// Heard notes a response to a call.
-func (d *Detector) Heard(now time.Time) Change {
-	d.heard, d.pause = now, probeAfter
-	return d.recover()
+// ResponseReceived notes a response to a call.
+func (d *Detector) ResponseReceived(now time.Time) Change {
+	d.lastResponse, d.probeInterval = now, probeAfter
+	return d.markRecovered()
 }
 
-func (d *Detector) recover() Change {
-	if d.failed.IsZero() {
-		return None
+func (d *Detector) markRecovered() Change {
+	if d.failedSince.IsZero() {
+		return Unchanged
 	}
-	d.failed = time.Time{}
+	d.failedSince = time.Time{}
 	return Recovered
 }
 
 // Failed reports whether the instance has failed.
-func (d *Detector) Failed() bool { return !d.failed.IsZero() }
+func (d *Detector) Failed() bool { return !d.failedSince.IsZero() }
 
-// Waiting returns the number of calls that wait for a response.
-func (d *Detector) Waiting() int { return len(d.waiting) }
+// WaitingCalls returns the number of calls that wait for a response.
+func (d *Detector) WaitingCalls() int { return len(d.sentAt) }
 
 // Idle reports whether nothing is left to follow.
-func (d *Detector) Idle() bool { return len(d.waiting) == 0 && !d.probing && !d.Failed() }
+func (d *Detector) Idle() bool { return len(d.sentAt) == 0 && !d.probing && !d.Failed() }
 
-// Next returns when the next probe is due, if there is to be one.
-func (d *Detector) Next() (time.Time, bool) {
+// NextProbe returns when the next probe is due, if there is to be one.
+func (d *Detector) NextProbe() (time.Time, bool) {
 	switch {
 	case d.probing:
 		return time.Time{}, false
 	case d.Failed():
-		return d.probed.Add(failedPause), true
-	case len(d.waiting) == 0:
+		return d.probeStarted.Add(failedProbeInterval), true
+	case len(d.sentAt) == 0:
 		return time.Time{}, false
 	}
 	var since time.Time
-	for _, sent := range d.waiting {
+	for _, sent := range d.sentAt {
 		if since.IsZero() || sent.Before(since) {
 			since = sent
 		}
 	}
-	if d.heard.After(since) {
-		since = d.heard
+	if d.lastResponse.After(since) {
+		since = d.lastResponse
 	}
-	return since.Add(max(d.pause, probeAfter)), true
+	return since.Add(max(d.probeInterval, probeAfter)), true
 }
 
 // StartProbe reports whether a probe is due, and notes that it begins.
 func (d *Detector) StartProbe(now time.Time) bool {
-	next, ok := d.Next()
+	next, ok := d.NextProbe()
 	if !ok || now.Before(next) {
 		return false
 	}
-	if d.Failed() && now.Sub(d.failed) > giveUpAfter {
-		d.failed = time.Time{}
+	if d.Failed() && now.Sub(d.failedSince) > stopProbingAfter {
+		d.failedSince = time.Time{}
 		return false
 	}
-	d.probing, d.probed = true, now
+	d.probing, d.probeStarted = true, now
 	return true
 }
 
@@ -121,12 +121,12 @@
 func (d *Detector) EndProbe(now time.Time, responded bool) Change {
 	d.probing = false
 	if responded {
-		d.heard, d.pause = now, min(2*max(d.pause, probeAfter), maxPause)
-		return d.recover()
+		d.lastResponse, d.probeInterval = now, min(2*max(d.probeInterval, probeAfter), maxProbeInterval)
+		return d.markRecovered()
 	}
-	if d.heard.After(d.probed) || d.Failed() {
-		return None // A response to a call came meanwhile, or nothing new.
+	if d.lastResponse.After(d.probeStarted) || d.Failed() {
+		return Unchanged // A response to a call came meanwhile, or nothing new.
 	}
-	d.failed = now
+	d.failedSince = now
 	return Failed
 }
--- a/coordination/detector/detector_test.go
+++ b/coordination/detector/detector_test.go
@@ -15,15 +15,15 @@
 	RunSpecs(t, "detector")
 }
 
-// play sends a call every interval to an instance that answers each after the given time, but nothing while it is down.
+// simulate sends a call every interval to an instance that answers each after the given time, but nothing while it is down.
 // It returns the number of probes and the times at which changes were seen.
-func play(length, interval, answer time.Duration, down func(time.Duration) bool) (probes int, failed, recovered []time.Duration) {
+func simulate(length, interval, answer time.Duration, down func(time.Duration) bool) (probes int, failed, recovered []time.Duration) {
 	const step, timeout = 10 * time.Millisecond, 300 * time.Millisecond
 	start := time.Unix(1_000, 0)
 	var d detector.Detector
 	answers := make(map[uint64]time.Duration)
 	var probe time.Duration = -1
-	note := func(change detector.Change, at time.Duration) {
+	recordChange := func(change detector.Change, at time.Duration) {
 		switch change {
 		case detector.Failed:
 			failed = append(failed, at)
@@ -36,23 +36,23 @@
 		now := start.Add(at)
 		if at%interval == 0 && !d.Failed() {
 			call++
-			d.Sent(now, call)
+			d.CallSent(now, call)
 			answers[call] = at + answer
 		}
 		for id, due := range answers {
 			if at >= due && !down(at) && !down(due) {
 				delete(answers, id)
-				d.Ended(id)
-				note(d.Heard(now), at)
+				d.CallEnded(id)
+				recordChange(d.ResponseReceived(now), at)
 			}
 		}
 		switch {
 		case probe >= 0 && !down(at):
 			probe = -1
-			note(d.EndProbe(now, true), at)
+			recordChange(d.EndProbe(now, true), at)
 		case probe >= 0 && at-probe >= timeout:
 			probe = -1
-			note(d.EndProbe(now, false), at)
+			recordChange(d.EndProbe(now, false), at)
 		}
 		if d.StartProbe(now) {
 			probes++
@@ -67,7 +67,7 @@
 var _ = Describe("Detector", func() {
 	// Guards against calls that go to an instance without power until their deadlines have passed.
 	It("finds a failure within 0.8 s and the recovery within 0.4 s", func() {
-		_, failed, recovered := play(10*time.Second, 20*time.Millisecond, 50*time.Millisecond, func(at time.Duration) bool {
+		_, failed, recovered := simulate(10*time.Second, 20*time.Millisecond, 50*time.Millisecond, func(at time.Duration) bool {
 			return at >= 3*time.Second && at < 5*time.Second
 		})
 		Expect(failed).To(HaveLen(1))
@@ -78,23 +78,23 @@
 
 	// Guards against probes under normal load: each costs as much as a small call.
 	It("does not probe while answers come", func() {
-		probes, failed, _ := play(10*time.Second, 20*time.Millisecond, 300*time.Millisecond, never)
+		probes, failed, _ := simulate(10*time.Second, 20*time.Millisecond, 300*time.Millisecond, never)
 		Expect(probes).To(BeZero())
 		Expect(failed).To(BeEmpty())
 	})
 
 	// Guards against a healthy instance that loses its calls since they take long.
 	It("probes a few times during long calls and finds nothing wrong", func() {
-		probes, failed, _ := play(10*time.Second, 10*time.Second, 8*time.Second, never)
+		probes, failed, _ := simulate(10*time.Second, 10*time.Second, 8*time.Second, never)
 		Expect(probes).To(BeNumerically("<=", 7))
 		Expect(failed).To(BeEmpty())
 	})
 
 	It("does not probe when no call waits", func() {
 		var d detector.Detector
-		d.Sent(time.Unix(1, 0), 1)
-		d.Ended(1)
-		_, due := d.Next()
+		d.CallSent(time.Unix(1, 0), 1)
+		d.CallEnded(1)
+		_, due := d.NextProbe()
 		Expect(due).To(BeFalse())
 		Expect(d.Idle()).To(BeTrue())
 	})
@@ -103,23 +103,23 @@
 	It("trusts the answer to a call more than a probe that timed out", func() {
 		now := time.Unix(1, 0)
 		var d detector.Detector
-		d.Sent(now, 1)
+		d.CallSent(now, 1)
 		Expect(d.StartProbe(now.Add(400 * time.Millisecond))).To(BeTrue())
-		d.Heard(now.Add(500 * time.Millisecond))
-		Expect(d.EndProbe(now.Add(700*time.Millisecond), false)).To(Equal(detector.None))
+		d.ResponseReceived(now.Add(500 * time.Millisecond))
+		Expect(d.EndProbe(now.Add(700*time.Millisecond), false)).To(Equal(detector.Unchanged))
 		Expect(d.Failed()).To(BeFalse())
 	})
 
 	It("stops probing an instance that stays failed", func() {
 		start := time.Unix(1, 0)
 		var d detector.Detector
-		d.Sent(start, 1)
+		d.CallSent(start, 1)
 		var last time.Duration
 		for at := time.Duration(0); at < time.Minute; at += 100 * time.Millisecond {
 			if d.StartProbe(start.Add(at)) {
 				last = at
 				d.EndProbe(start.Add(at), false)
-				d.Ended(1)
+				d.CallEnded(1)
 			}
 		}
 		Expect(last).To(BeNumerically("~", 20*time.Second, time.Second))
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -19,16 +19,16 @@
 	// candidateLifetime is the time for which a candidate counts as waiting after it was last heard of. It covers a few
 	// of its announcements.
 	candidateLifetime = 2 * time.Second
-	// learnerPatience is the silence after which a learner that does not catch up gives way to another candidate.
-	learnerPatience = 2 * time.Second
+	// learnerTimeout is the silence after which a learner that does not catch up gives way to another candidate.
+	learnerTimeout = 2 * time.Second
 )
 
 // Candidate is a control process that belongs to no group and asks to join.
 type Candidate struct {
-	ID      raft.MemberID
-	Address string
-	Zone    string
-	Seen    time.Time
+	ID       raft.MemberID
+	Address  string
+	Zone     string
+	LastSeen time.Time
 }
 
 // Candidates holds the control processes that ask to join. It is not safe for concurrent use.
@@ -44,20 +44,20 @@
 	c.byAddress[candidate.Address] = candidate
 }
 
-// waiting lists the candidates that were heard of lately and still hold their address, those of zones with the fewest
+// eligible lists the candidates that were heard of lately and still hold their address, those of zones with the fewest
 // members first.
-func (c *Candidates) waiting(now time.Time, status raft.Status) []Candidate {
+func (c *Candidates) eligible(now time.Time, status raft.Status) []Candidate {
 	members := make(map[string]int)
 	for _, member := range status.Membership.Members {
 		members[member.Zone]++
 	}
 	var list []Candidate
 	for address, candidate := range c.byAddress {
-		if now.Sub(candidate.Seen) > candidateLifetime {
+		if now.Sub(candidate.LastSeen) > candidateLifetime {
 			delete(c.byAddress, address)
 			continue
 		}
-		if _, member := status.Membership.Find(candidate.ID); !member && !outdated(now, status, candidate) {
+		if _, member := status.Membership.Find(candidate.ID); !member && !superseded(now, status, candidate) {
 			list = append(list, candidate)
 		}
 	}
@@ -67,25 +67,25 @@
 	return list
 }
 
-// outdated reports whether a member has been heard at a candidate's address since the candidate was: the process there
+// superseded reports whether a member has been heard at a candidate's address since the candidate was: the process there
 // has joined under a later identity.
-func outdated(now time.Time, status raft.Status, candidate Candidate) bool {
+func superseded(now time.Time, status raft.Status, candidate Candidate) bool {
 	return slices.ContainsFunc(status.Membership.Members, func(member raft.Member) bool {
-		return member.Address == candidate.Address && !candidate.Seen.After(now.Add(-status.Progress[member.ID].Silence))
+		return member.Address == candidate.Address && !candidate.LastSeen.After(now.Add(-status.Progress[member.ID].Silence))
 	})
 }
 
-// Next returns the membership change that the leader proposes now, if any. voters is the number of members that vote
+// NextChange returns the membership change that the leader proposes now, if any. voters is the number of members that vote
 // when nothing has failed.
-func Next(now time.Time, status raft.Status, candidates *Candidates, voters int) (raft.MembershipChange, bool) {
+func NextChange(now time.Time, status raft.Status, candidates *Candidates, targetVoters int) (raft.MembershipChange, bool) {
 	if status.Role != raft.RoleLeader || status.MembershipPending {
 		return raft.MembershipChange{}, false
 	}
-	waiting := candidates.waiting(now, status)
-	lost := lostVoters(status, waiting)
-	count := len(status.Membership.Voters())
-	if count > voters && len(lost) > 0 {
-		return raft.MembershipChange{Kind: raft.ChangeRemove, Member: raft.Member{ID: lost[0]}}, true
+	joining := candidates.eligible(now, status)
+	replaceable := replaceableVoters(status, joining)
+	voters := len(status.Membership.Voters())
+	if voters > targetVoters && len(replaceable) > 0 {
+		return raft.MembershipChange{Kind: raft.ChangeRemove, Member: raft.Member{ID: replaceable[0]}}, true
 	}
 	for _, member := range status.Membership.Members {
 		if !member.Learner {
@@ -93,7 +93,7 @@
 		}
 		progress := status.Progress[member.ID]
 		switch {
-		case reborn(member, waiting), progress.Silence > learnerPatience:
+		case addressTakenByCandidate(member, joining), progress.Silence > learnerTimeout:
 			return raft.MembershipChange{Kind: raft.ChangeRemove, Member: raft.Member{ID: member.ID}}, true
 		case progress.Match >= status.Commit && progress.SinceContact >= 0:
 			return raft.MembershipChange{Kind: raft.ChangePromote, Member: raft.Member{ID: member.ID}}, true
@@ -101,23 +101,23 @@
 		// One learner at a time: its promotion or removal comes first.
 		return raft.MembershipChange{}, false
 	}
-	if len(waiting) == 0 || count >= voters && len(lost) == 0 {
+	if len(joining) == 0 || voters >= targetVoters && len(replaceable) == 0 {
 		return raft.MembershipChange{}, false
 	}
-	chosen := waiting[0]
+	chosen := joining[0]
 	return raft.MembershipChange{Kind: raft.ChangeAddLearner, Member: raft.Member{
 		ID: chosen.ID, Address: chosen.Address, Zone: chosen.Zone, Learner: true,
 	}}, true
 }
 
-// lostVoters lists the voters that should be replaced: first those whose address now belongs to a candidate, which
+// replaceableVoters lists the voters that should be replaced: first those whose address now belongs to a candidate, which
 // proves that their disk is gone, then those that have been silent for long.
-func lostVoters(status raft.Status, waiting []Candidate) []raft.MemberID {
+func replaceableVoters(status raft.Status, joining []Candidate) []raft.MemberID {
 	var wiped, silent []raft.MemberID
 	for _, member := range status.Membership.Members {
 		switch {
 		case member.Learner || member.ID == status.ID:
-		case reborn(member, waiting) || supplanted(member, status):
+		case addressTakenByCandidate(member, joining) || addressTakenByMember(member, status):
 			wiped = append(wiped, member.ID)
 		case status.Progress[member.ID].Silence > ReplaceAfter:
 			silent = append(silent, member.ID)
@@ -126,13 +126,13 @@
 	return append(wiped, silent...)
 }
 
-// reborn reports whether a candidate with another identity answers at a member's address.
-func reborn(member raft.Member, waiting []Candidate) bool {
-	return slices.ContainsFunc(waiting, func(c Candidate) bool { return c.Address == member.Address && c.ID != member.ID })
+// addressTakenByCandidate reports whether a candidate with another identity answers at a member's address.
+func addressTakenByCandidate(member raft.Member, joining []Candidate) bool {
+	return slices.ContainsFunc(joining, func(c Candidate) bool { return c.Address == member.Address && c.ID != member.ID })
 }
 
-// supplanted reports whether another member has been heard at the same address since this one was.
-func supplanted(member raft.Member, status raft.Status) bool {
+// addressTakenByMember reports whether another member has been heard at the same address since this one was.
+func addressTakenByMember(member raft.Member, status raft.Status) bool {
 	return slices.ContainsFunc(status.Membership.Members, func(other raft.Member) bool {
 		return other.ID != member.ID && other.Address == member.Address &&
 			status.Progress[other.ID].Silence < status.Progress[member.ID].Silence
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -37,7 +37,7 @@
 	processes  []*process
 	members    raft.Membership
 	candidates membership.Candidates
-	next       int
+	identities int
 	removed    []raft.MemberID
 }
 
@@ -56,8 +56,8 @@
 
 // identify gives a process a new identity. Identities are not ordered by age.
 func (g *group) identify(p *process) {
-	g.next++
-	p.id = raft.MemberID(fmt.Sprintf("%c%d", 'a'+(g.next*7)%26, g.next))
+	g.identities++
+	p.id = raft.MemberID(fmt.Sprintf("%c%d", 'a'+(g.identities*7)%26, g.identities))
 }
 
 func (g *group) process(id raft.MemberID) *process {
@@ -91,10 +91,10 @@
 	g.now = g.now.Add(100 * time.Millisecond)
 	for _, p := range g.processes {
 		if _, member := g.members.Find(p.id); p.alive && !member {
-			g.candidates.Announce(membership.Candidate{ID: p.id, Address: p.address, Seen: g.now})
+			g.candidates.Announce(membership.Candidate{ID: p.id, Address: p.address, LastSeen: g.now})
 		}
 	}
-	change, ok := membership.Next(g.now, g.status(), &g.candidates, voters)
+	change, ok := membership.NextChange(g.now, g.status(), &g.candidates, voters)
 	if ok {
 		g.apply(change)
 	}
@@ -171,9 +171,9 @@
 			g := newGroup(voters)
 			g.members.Members[1].Learner = learner
 			g.candidates.Announce(membership.Candidate{
-				ID: "former", Address: g.members.Members[1].Address, Seen: g.now.Add(-time.Second),
+				ID: "former", Address: g.members.Members[1].Address, LastSeen: g.now.Add(-time.Second),
 			})
-			change, proposed := membership.Next(g.now, g.status(), &g.candidates, voters)
+			change, proposed := membership.NextChange(g.now, g.status(), &g.candidates, voters)
 			if learner {
 				Expect(change.Kind).To(Equal(raft.ChangePromote))
 			} else {
@@ -211,13 +211,13 @@
 	It("proposes nothing while a change is pending or another member leads", func() {
 		g := newGroup(voters)
 		g.wipe(g.processes[1])
-		g.candidates.Announce(membership.Candidate{ID: g.processes[1].id, Address: g.processes[1].address, Seen: g.now})
+		g.candidates.Announce(membership.Candidate{ID: g.processes[1].id, Address: g.processes[1].address, LastSeen: g.now})
 		status := g.status()
 		status.MembershipPending = true
-		_, ok := membership.Next(g.now, status, &g.candidates, voters)
+		_, ok := membership.NextChange(g.now, status, &g.candidates, voters)
 		Expect(ok).To(BeFalse())
 		status.MembershipPending, status.Role = false, raft.RoleFollower
-		_, ok = membership.Next(g.now, status, &g.candidates, voters)
+		_, ok = membership.NextChange(g.now, status, &g.candidates, voters)
 		Expect(ok).To(BeFalse())
 	})
 })
--- a/node/liveness.go
+++ b/node/liveness.go
@@ -71,7 +71,7 @@
 		l.instances[target.ID] = known
 	}
 	l.nextCall++
-	known.detector.Sent(time.Now(), l.nextCall)
+	known.detector.CallSent(time.Now(), l.nextCall)
 	if class != bundle.ClassIrreversible {
 		known.repeatable[l.nextCall] = cancel
 	}
@@ -84,7 +84,7 @@
 	l := p.liveness
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.apply(p.instance, p.instance.detector.Heard(time.Now()))
+	l.apply(p.instance, p.instance.detector.ResponseReceived(time.Now()))
 }
 
 // end notes that the call no longer waits.
@@ -92,7 +92,7 @@
 	l := p.liveness
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p.instance.detector.Ended(p.call)
+	p.instance.detector.CallEnded(p.call)
 	delete(p.instance.repeatable, p.call)
 }
 
@@ -102,7 +102,7 @@
 	if i.timer != nil || l.ended {
 		return // This is the case for most calls; Next looks at all that wait.
 	}
-	next, ok := i.detector.Next()
+	next, ok := i.detector.NextProbe()
 	if !ok {
 		return
 	}
@@ -161,7 +161,7 @@
 	case detector.Recovered:
 		l.logger.Info().Str("to", i.target.ID).Str("zone", i.target.Zone).Msg("instance responds again")
 		l.balancer.Resume(i.target)
-		if i.detector.Waiting() == 0 {
+		if i.detector.WaitingCalls() == 0 {
 			// After a cut, an old connection sends again only after a pause that has grown to seconds.
 			l.calls.Forget(i.target.Address)
 		}
