--- a/coordination/detector/detector.go
+++ b/coordination/detector/detector.go
@@ -1,31 +1,33 @@
-// Package detector is a failure detector for one instance that calls are sent to. It answers the loss of power, a freeze
-// and a cut of the instance: connections then stay open without traffic, each call waits for its whole deadline, and a node
-// sends further ones there. While calls wait and nothing is heard, the instance is probed; if it does not respond to a
-// probe, its calls are better sent elsewhere. A Detector is a state machine without clock and I/O; it is not safe for
-// concurrent use.
+// Package detector detects that an instance that receives calls has failed. If an instance loses power, hangs or is cut
+// off from the network, its connections stay open without traffic: every call to it waits until its deadline, and nodes
+// keep sending more. The detector therefore probes an instance that has calls waiting and has sent no response for some
+// time. If the probe is not answered, the instance has failed and its calls should be sent to other instances.
+//
+// A Detector is a state machine: the caller passes in the time and performs the I/O. It is not safe for concurrent use.
 package detector
 
 import "time"
 
 const (
-	// probeAfter is the time without a response after which an instance with waiting calls is probed. It is a few times the
-	// duration of an average call, so that a working instance is rarely probed.
+	// probeAfter is the time without a response after which an instance with waiting calls is probed. It is a few times
+	// the duration of an average call, so that a working instance is rarely probed.
 	probeAfter = 400 * time.Millisecond
-	// maxProbeInterval bounds the growing pause between probes of an instance that responds to them but takes long over its calls.
+	// maxProbeInterval bounds the interval between probes of an instance that answers probes while its calls take long.
+	// The interval doubles with each answered probe.
 	maxProbeInterval = 4 * probeAfter
-	// failedProbeInterval is the pause between probes of a failed instance: it gets no calls, so nothing else shows its recovery.
+	// failedProbeInterval is the interval between probes of a failed instance. Since it gets no calls, only a probe can
+	// show that it has recovered.
 	failedProbeInterval = 300 * time.Millisecond
-	// stopProbingAfter ends the probes of a failed instance. It is several times as long as the distribution tree needs to
-	// publish the loss of an instance; a later return is published as well.
+	// stopProbingAfter is the time after a failure at which probing ends. It is several times as long as the distribution
+	// tree takes to announce that the instance is lost; a later restart is announced as well.
 	stopProbingAfter = 20 * time.Second
 )
 
-// Change tells how the state of an instance changed.
+// Change says how an event changed the state of an instance.
 type Change uint8
 
-// The changes.
 const (
-	// Unchanged means that the state is as before.
+	// Unchanged means that the event did not change the state.
 	Unchanged Change = iota
 	// Failed means that the instance stopped responding.
 	Failed
@@ -33,21 +35,22 @@
 	Recovered
 )
 
-// Detector follows one instance. The zero value is ready.
+// Detector tracks whether one instance responds. The zero value is ready to use.
 type Detector struct {
-	// sentAt holds when each call without a response was sent.
+	// sentAt is the send time of each call that waits for a response, by the call's number.
 	sentAt map[uint64]time.Time
 	// lastResponse is the time of the last response to a call or a probe.
-	lastResponse  time.Time
+	lastResponse time.Time
+	// probeInterval is the time without a response after which the next probe is due; at least probeAfter is used.
 	probeInterval time.Duration
-	// probing is set while a probe is under way; probed is when the last one began.
+	// probing is set while a probe is under way; probeStarted is when the last one started.
 	probing      bool
 	probeStarted time.Time
-	// failedSince is when the instance was found to have failedSince; zero if it has not.
+	// failedSince is when the failure was detected; zero while the instance responds.
 	failedSince time.Time
 }
 
-// CallSent notes that a call was sent.
+// CallSent records that a call was sent.
 func (d *Detector) CallSent(now time.Time, call uint64) {
 	if d.sentAt == nil {
 		d.sentAt = make(map[uint64]time.Time)
@@ -55,10 +58,10 @@
 	d.sentAt[call] = now
 }
 
-// CallEnded notes that a call no longer waits for a response.
+// CallEnded records that a call no longer waits for a response.
 func (d *Detector) CallEnded(call uint64) { delete(d.sentAt, call) }
 
-// ResponseReceived notes a response to a call.
+// ResponseReceived records a response to a call.
 func (d *Detector) ResponseReceived(now time.Time) Change {
 	d.lastResponse, d.probeInterval = now, probeAfter
 	return d.markRecovered()
@@ -78,10 +81,10 @@
 // WaitingCalls returns the number of calls that wait for a response.
 func (d *Detector) WaitingCalls() int { return len(d.sentAt) }
 
-// Idle reports whether nothing is left to follow.
+// Idle reports whether the instance needs no further tracking: it works, and no call or probe waits for a response.
 func (d *Detector) Idle() bool { return len(d.sentAt) == 0 && !d.probing && !d.Failed() }
 
-// NextProbe returns when the next probe is due, if there is to be one.
+// NextProbe returns the time at which the next probe is due; false if none is needed.
 func (d *Detector) NextProbe() (time.Time, bool) {
 	switch {
 	case d.probing:
@@ -103,7 +106,7 @@
 	return since.Add(max(d.probeInterval, probeAfter)), true
 }
 
-// StartProbe reports whether a probe is due, and notes that it begins.
+// StartProbe reports whether a probe is due and, if so, records that it starts now.
 func (d *Detector) StartProbe(now time.Time) bool {
 	next, ok := d.NextProbe()
 	if !ok || now.Before(next) {
@@ -117,7 +120,7 @@
 	return true
 }
 
-// EndProbe notes the result of a probe.
+// EndProbe records the result of a probe.
 func (d *Detector) EndProbe(now time.Time, responded bool) Change {
 	d.probing = false
 	if responded {
@@ -125,7 +128,7 @@
 		return d.markRecovered()
 	}
 	if d.lastResponse.After(d.probeStarted) || d.Failed() {
-		return Unchanged // A response to a call came meanwhile, or nothing new.
+		return Unchanged // A call was answered during the probe, or the failure is already known.
 	}
 	d.failedSince = now
 	return Failed
--- a/coordination/detector/detector_test.go
+++ b/coordination/detector/detector_test.go
@@ -15,13 +15,13 @@
 	RunSpecs(t, "detector")
 }
 
-// simulate sends a call every interval to an instance that answers each after the given time, but nothing while it is down.
-// It returns the number of probes and the times at which changes were seen.
-func simulate(length, interval, answer time.Duration, down func(time.Duration) bool) (probes int, failed, recovered []time.Duration) {
+// simulate sends a call every interval to an instance that responds to each after the given latency, but does not
+// respond while down returns true. It returns the number of probes and the times of detected failures and recoveries.
+func simulate(length, interval, latency time.Duration, down func(time.Duration) bool) (probes int, failed, recovered []time.Duration) {
 	const step, timeout = 10 * time.Millisecond, 300 * time.Millisecond
 	start := time.Unix(1_000, 0)
 	var d detector.Detector
-	answers := make(map[uint64]time.Duration)
+	responses := make(map[uint64]time.Duration)
 	var probe time.Duration = -1
 	recordChange := func(change detector.Change, at time.Duration) {
 		switch change {
@@ -37,11 +37,11 @@
 		if at%interval == 0 && !d.Failed() {
 			call++
 			d.CallSent(now, call)
-			answers[call] = at + answer
+			responses[call] = at + latency
 		}
-		for id, due := range answers {
+		for id, due := range responses {
 			if at >= due && !down(at) && !down(due) {
-				delete(answers, id)
+				delete(responses, id)
 				d.CallEnded(id)
 				recordChange(d.ResponseReceived(now), at)
 			}
@@ -65,7 +65,7 @@
 func never(time.Duration) bool { return false }
 
 var _ = Describe("Detector", func() {
-	// Guards against calls that go to an instance without power until their deadlines have passed.
+	// Guards against sending calls to an instance that lost power: each would wait until its deadline.
 	It("finds a failure within 0.8 s and the recovery within 0.4 s", func() {
 		_, failed, recovered := simulate(10*time.Second, 20*time.Millisecond, 50*time.Millisecond, func(at time.Duration) bool {
 			return at >= 3*time.Second && at < 5*time.Second
@@ -77,14 +77,14 @@
 	})
 
 	// Guards against probes under normal load: each costs as much as a small call.
-	It("does not probe while answers come", func() {
+	It("does not probe while responses arrive", func() {
 		probes, failed, _ := simulate(10*time.Second, 20*time.Millisecond, 300*time.Millisecond, never)
 		Expect(probes).To(BeZero())
 		Expect(failed).To(BeEmpty())
 	})
 
-	// Guards against a healthy instance that loses its calls since they take long.
-	It("probes a few times during long calls and finds nothing wrong", func() {
+	// Guards against taking a healthy instance for failed because its calls take long.
+	It("probes a few times during long calls and detects no failure", func() {
 		probes, failed, _ := simulate(10*time.Second, 10*time.Second, 8*time.Second, never)
 		Expect(probes).To(BeNumerically("<=", 7))
 		Expect(failed).To(BeEmpty())
@@ -99,8 +99,8 @@
 		Expect(d.Idle()).To(BeTrue())
 	})
 
-	// Guards against an instance that is taken for failed although it answered a call during the probe.
-	It("trusts the answer to a call more than a probe that timed out", func() {
+	// Guards against taking an instance for failed although it responded to a call during the probe.
+	It("ignores a probe that timed out if a call was answered meanwhile", func() {
 		now := time.Unix(1, 0)
 		var d detector.Detector
 		d.CallSent(now, 1)
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -1,7 +1,8 @@
-// Package membership decides, on the leader of the control members, which instances vote. It answers the loss of
-// members without an operator: disks that come back empty, instances that are gone for good and return elsewhere, and
-// two such losses at once. A change is proposed only one step at a time, and a member is removed only after its
-// replacement holds everything that is committed and votes, so that a second loss right after a repair loses nothing.
+// Package membership decides, on the leader of the control members, which control processes are voters of the Raft
+// group. It replaces lost members without an operator: members that restart with an empty disk, members that never come
+// back, and two such losses at once. It proposes one membership change at a time, and removes a member only after its
+// replacement is a voter and holds every committed entry. A second loss right after a replacement therefore loses no
+// committed entry.
 package membership
 
 import (
@@ -13,17 +14,18 @@
 )
 
 const (
-	// ReplaceAfter is the silence after which a voter is replaced by a waiting candidate. It is longer than a restart
-	// (about 1 s) and an election, so that a member that is only restarted keeps its vote.
+	// ReplaceAfter is the time without contact after which a voter is replaced, if a candidate is available. It is longer
+	// than a restart (about 1 s) and an election together, so that a member that only restarts stays a voter.
 	ReplaceAfter = 3 * time.Second
-	// candidateLifetime is the time for which a candidate counts as waiting after it was last heard of. It covers a few
-	// of its announcements.
+	// candidateLifetime is the time for which an announcement of a candidate is valid. It covers a few announcements, so
+	// that a lost one does not matter.
 	candidateLifetime = 2 * time.Second
-	// learnerTimeout is the silence after which a learner that does not catch up gives way to another candidate.
+	// learnerTimeout is the time without contact after which a learner is removed in favour of another candidate.
 	learnerTimeout = 2 * time.Second
 )
 
-// Candidate is a control process that belongs to no group and asks to join.
+// Candidate is a control process that belongs to no group and asks to join. LastSeen is the time of its last
+// announcement.
 type Candidate struct {
 	ID       raft.MemberID
 	Address  string
@@ -36,7 +38,7 @@
 	byAddress map[string]Candidate
 }
 
-// Announce notes that a candidate asks to join. A later identity at the same address replaces the earlier one.
+// Announce records that a candidate asks to join. A new ID at the same address replaces the former one.
 func (c *Candidates) Announce(candidate Candidate) {
 	if c.byAddress == nil {
 		c.byAddress = make(map[string]Candidate)
@@ -44,8 +46,8 @@
 	c.byAddress[candidate.Address] = candidate
 }
 
-// eligible lists the candidates that were heard of lately and still hold their address, those of zones with the fewest
-// members first.
+// eligible lists the candidates whose last announcement is still valid and whose address is not in use by a member.
+// Candidates in the zones with the fewest members come first. Expired announcements are deleted.
 func (c *Candidates) eligible(now time.Time, status raft.Status) []Candidate {
 	members := make(map[string]int)
 	for _, member := range status.Membership.Members {
@@ -67,16 +69,16 @@
 	return list
 }
 
-// superseded reports whether a member has been heard at a candidate's address since the candidate was: the process there
-// has joined under a later identity.
+// superseded reports whether a member was in contact at the candidate's address after the candidate's last
+// announcement: the process at that address has joined under a newer ID.
 func superseded(now time.Time, status raft.Status, candidate Candidate) bool {
 	return slices.ContainsFunc(status.Membership.Members, func(member raft.Member) bool {
 		return member.Address == candidate.Address && !candidate.LastSeen.After(now.Add(-status.Progress[member.ID].Silence))
 	})
 }
 
-// NextChange returns the membership change that the leader proposes now, if any. voters is the number of members that vote
-// when nothing has failed.
+// NextChange returns the membership change that the leader should propose now; false if there is none. targetVoters is
+// the number of voters when nothing has failed.
 func NextChange(now time.Time, status raft.Status, candidates *Candidates, targetVoters int) (raft.MembershipChange, bool) {
 	if status.Role != raft.RoleLeader || status.MembershipPending {
 		return raft.MembershipChange{}, false
@@ -98,7 +100,7 @@
 		case progress.Match >= status.Commit && progress.SinceContact >= 0:
 			return raft.MembershipChange{Kind: raft.ChangePromote, Member: raft.Member{ID: member.ID}}, true
 		}
-		// One learner at a time: its promotion or removal comes first.
+		// Only one learner at a time: it is promoted or removed before another candidate is added.
 		return raft.MembershipChange{}, false
 	}
 	if len(joining) == 0 || voters >= targetVoters && len(replaceable) == 0 {
@@ -110,8 +112,8 @@
 	}}, true
 }
 
-// replaceableVoters lists the voters that should be replaced: first those whose address now belongs to a candidate, which
-// proves that their disk is gone, then those that have been silent for long.
+// replaceableVoters lists the voters that should be replaced. First come those whose address is now used by another ID,
+// which proves that their disk was lost, then those without contact for longer than ReplaceAfter.
 func replaceableVoters(status raft.Status, joining []Candidate) []raft.MemberID {
 	var wiped, silent []raft.MemberID
 	for _, member := range status.Membership.Members {
@@ -126,12 +128,12 @@
 	return append(wiped, silent...)
 }
 
-// addressTakenByCandidate reports whether a candidate with another identity answers at a member's address.
+// addressTakenByCandidate reports whether a candidate with another ID announces the member's address as its own.
 func addressTakenByCandidate(member raft.Member, joining []Candidate) bool {
 	return slices.ContainsFunc(joining, func(c Candidate) bool { return c.Address == member.Address && c.ID != member.ID })
 }
 
-// addressTakenByMember reports whether another member has been heard at the same address since this one was.
+// addressTakenByMember reports whether another member was in contact at the same address more recently than this one.
 func addressTakenByMember(member raft.Member, status raft.Status) bool {
 	return slices.ContainsFunc(status.Membership.Members, func(other raft.Member) bool {
 		return other.ID != member.ID && other.Address == member.Address &&
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -24,14 +24,14 @@
 
 const voters = 5
 
-// process is one control process of a simulated group. Its identity changes when its disk is lost.
+// process is one control process of a simulated group. It gets a new ID when its disk is lost.
 type process struct {
 	id      raft.MemberID
 	address string
 	alive   bool
 }
 
-// group applies the changes that Next proposes, as a leader does that commits each at once.
+// group simulates a Raft group whose leader commits each change that NextChange proposes at once.
 type group struct {
 	now        time.Time
 	processes  []*process
@@ -54,7 +54,7 @@
 	return g
 }
 
-// identify gives a process a new identity. Identities are not ordered by age.
+// identify gives a process a new ID. The order of the IDs differs from the order in which they were created.
 func (g *group) identify(p *process) {
 	g.identities++
 	p.id = raft.MemberID(fmt.Sprintf("%c%d", 'a'+(g.identities*7)%26, g.identities))
@@ -86,7 +86,7 @@
 	return status
 }
 
-// step lets a tenth of a second pass and returns the change that was made, if any.
+// step advances the time by 100 ms and returns the change that was made, if any.
 func (g *group) step() (raft.MembershipChange, bool) {
 	g.now = g.now.Add(100 * time.Millisecond)
 	for _, p := range g.processes {
@@ -121,7 +121,7 @@
 	g.members = raft.Membership{Members: members}
 }
 
-// settle runs until nothing changes and returns the number of changes.
+// settle runs until no change is proposed, for at most 100 steps, and returns the number of changes.
 func (g *group) settle() int {
 	changes := 0
 	for range 100 {
@@ -133,29 +133,30 @@
 	return changes
 }
 
-func (g *group) wipe(p *process) { g.identify(p) }
+// loseDisk restarts a process with an empty disk.
+func (g *group) loseDisk(p *process) { g.identify(p) }
 
-var _ = Describe("Next", func() {
-	// Guards against a leader that takes the returned process for the lost one, since both have one address, and then
-	// adds and removes it for ever: no member would be left that can lose another disk.
-	It("replaces a member that returns at its address with an empty disk, once", func() {
+var _ = Describe("NextChange", func() {
+	// Guards against a leader that confuses the restarted process with the lost member because both have the same
+	// address, and adds and removes it again and again. The group could then not survive the loss of another disk.
+	It("replaces a member that restarts at its address with an empty disk exactly once", func() {
 		for range 50 {
 			g := newGroup(voters)
 			lost := g.processes[1+rand.IntN(voters-1)]
 			former := lost.id
-			g.wipe(lost)
+			g.loseDisk(lost)
 			Expect(g.settle()).To(Equal(3), "add, promote, remove")
 			Expect(g.removed).To(Equal([]raft.MemberID{former}))
 			Expect(g.members.Voters()).To(ContainElement(lost.id))
 		}
 	})
 
-	// Guards against a group that drops to three voters while it repairs two losses: an entry on two disks could then be
-	// lost with both of them.
-	It("never counts fewer voters than before while it replaces two members", func() {
+	// Guards against a group that shrinks to three voters while it replaces two members: an entry that is committed on
+	// two disks could then be lost with both of them.
+	It("never has fewer voters than before while it replaces two members", func() {
 		g := newGroup(voters)
-		g.wipe(g.processes[1])
-		g.wipe(g.processes[3])
+		g.loseDisk(g.processes[1])
+		g.loseDisk(g.processes[3])
 		for range 20 {
 			g.step()
 			Expect(len(g.members.Voters())).To(BeNumerically(">=", voters))
@@ -164,9 +165,9 @@
 			g.processes[3].id, g.processes[4].id))
 	})
 
-	// Guards against the removal of a live member because its address was lately that of another candidate, which is
-	// still counted as waiting for two seconds after it was last heard.
-	It("keeps a voter or a learner that was heard after a candidate at its address", func() {
+	// Guards against the removal of a live member because a former candidate used the same address: an announcement is
+	// valid for two seconds, so the former candidate is still listed.
+	It("keeps a voter or a learner that was in contact after a candidate announced the same address", func() {
 		for _, learner := range []bool{false, true} {
 			g := newGroup(voters)
 			g.members.Members[1].Learner = learner
@@ -182,14 +183,14 @@
 		}
 	})
 
-	It("grows the group of founders by the processes that ask to join", func() {
+	It("adds the processes that ask to join to the founding members", func() {
 		g := newGroup(voters)
 		g.members.Members = g.members.Members[:3]
 		g.settle()
 		Expect(g.members.Voters()).To(HaveLen(voters))
 	})
 
-	// Guards against the replacement of members that only restart, which costs their state.
+	// Guards against replacing a member that only restarts: the copy of the state that it holds would be lost.
 	It("keeps a silent member while no process asks to join, and replaces it by one that does", func() {
 		g := newGroup(voters)
 		g.processes[2].alive = false
@@ -203,14 +204,14 @@
 		Expect(g.members.Voters()).To(ContainElement(spare.id))
 	})
 
-	It("leaves waiting processes outside a whole group", func() {
+	It("adds no process to a group that has all its voters", func() {
 		g := newGroup(voters + 2)
 		Expect(g.settle()).To(BeZero())
 	})
 
 	It("proposes nothing while a change is pending or another member leads", func() {
 		g := newGroup(voters)
-		g.wipe(g.processes[1])
+		g.loseDisk(g.processes[1])
 		g.candidates.Announce(membership.Candidate{ID: g.processes[1].id, Address: g.processes[1].address, LastSeen: g.now})
 		status := g.status()
 		status.MembershipPending = true
