--- a/coordination/endpoints/endpoints_test.go
+++ b/coordination/endpoints/endpoints_test.go
@@ -27,7 +27,7 @@
 	return endpoints.Record{ID: id, Incarnation: incarnation, Sequence: sequence, State: state, Zone: "z0", Service: "rank"}
 }
 
-func genRecords(t *rapid.T) []endpoints.Record {
+func drawRecords(t *rapid.T) []endpoints.Record {
 	one := rapid.Custom(func(t *rapid.T) endpoints.Record {
 		id := fmt.Sprint("n", rapid.IntRange(0, 5).Draw(t, "id"))
 		state := endpoints.State(rapid.IntRange(1, 4).Draw(t, "state"))
@@ -40,7 +40,7 @@
 	// Guards against tables that differ for ever because records arrived in another order or twice.
 	It("is independent of order and duplication", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			records := genRecords(t)
+			records := drawRecords(t)
 			shuffled := append([]endpoints.Record(nil), records...)
 			shuffled = append(shuffled, records...)
 			rand.New(rand.NewSource(rapid.Int64().Draw(t, "order"))).Shuffle(len(shuffled), func(i, j int) {
@@ -53,7 +53,7 @@
 			}
 			Expect(a.All()).To(Equal(b.All()))
 			Expect(a.Digest()).To(Equal(b.Digest()))
-			Expect(a.Buckets()).To(Equal(b.Buckets()))
+			Expect(a.BucketDigests()).To(Equal(b.BucketDigests()))
 		})
 	})
 
@@ -61,9 +61,9 @@
 	It("finds all differences by buckets", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			a, b := endpoints.NewTable(start, 0), endpoints.NewTable(start, 0)
-			a.Merge(genRecords(t))
-			b.Merge(genRecords(t))
-			marked, _ := a.Differing(b.Buckets())
+			a.Merge(drawRecords(t))
+			b.Merge(drawRecords(t))
+			marked, _ := a.DifferingBuckets(b.BucketDigests())
 			fromA, fromB := a.InBuckets(&marked), b.InBuckets(&marked)
 			a.Merge(fromB)
 			b.Merge(fromA)
@@ -75,12 +75,12 @@
 	It("lets a suspicion win over the record it is about, and a greater sequence over the suspicion", func() {
 		table := endpoints.NewTable(start, 0)
 		table.Merge([]endpoints.Record{record("a", 1, 4, endpoints.Draining)})
-		suspicion, ok := table.Suspicion("a")
+		suspicion, ok := table.SuspectRecord("a")
 		Expect(ok).To(BeTrue())
 		Expect(table.Merge([]endpoints.Record{suspicion})).To(HaveLen(1))
 		Expect(table.Merge([]endpoints.Record{record("a", 1, 4, endpoints.Draining)})).To(BeEmpty())
 		Expect(table.Merge([]endpoints.Record{record("a", 1, 5, endpoints.Draining)})).To(HaveLen(1))
-		Expect(table.LeavingCount()).To(BeZero())
+		Expect(table.ExpiringCount()).To(BeZero())
 	})
 
 	// Guards against a late copy that brings an endpoint back after its removal.
@@ -112,7 +112,7 @@
 			table.Merge([]endpoints.Record{record(fmt.Sprint("m", i), 1, 1, endpoints.Serving)})
 		}
 		Expect(table.Len()).To(Equal(10))
-		Expect(table.Dropped()).To(BeNumerically("==", 10))
+		Expect(table.Rejected()).To(BeNumerically("==", 10))
 		Expect(table.Merge([]endpoints.Record{record("m0", 1, 2, 9)})).To(BeEmpty())
 	})
 })
--- a/coordination/endpoints/record.go
+++ b/coordination/endpoints/record.go
@@ -75,22 +75,22 @@
 	return cmp.Or(
 		cmp.Compare(r.Incarnation, other.Incarnation),
 		cmp.Compare(r.Sequence, other.Sequence),
-		cmp.Compare(r.State.rank(), other.State.rank()),
+		cmp.Compare(r.State.precedence(), other.State.precedence()),
 	)
 }
 
-// Older orders records of different nodes by (incarnation, id), the order of the distribution tree.
-func (r Record) Older(other Record) bool {
+// Before orders records of different nodes by (incarnation, id), the order of the distribution tree.
+func (r Record) Before(other Record) bool {
 	return cmp.Or(cmp.Compare(r.Incarnation, other.Incarnation), cmp.Compare(r.ID, other.ID)) < 0
 }
 
 // Usable reports whether the upstream may receive new work.
 func (r Record) Usable() bool { return r.State == Serving }
 
-// Leaving reports whether the record is to be dropped after RemoveAfter.
-func (r Record) Leaving() bool { return r.State == Gone || r.State == Suspect }
+// Expiring reports whether the record is to be dropped after RemoveAfter.
+func (r Record) Expiring() bool { return r.State == Gone || r.State == Suspect }
 
-func (s State) rank() int {
+func (s State) precedence() int {
 	switch s {
 	case Serving:
 		return 0
@@ -103,8 +103,8 @@
 	}
 }
 
-// sum hashes what identifies the record's version. The other fields follow from it.
-func (r Record) sum() uint64 {
+// versionHash hashes what identifies the record's version. The other fields follow from it.
+func (r Record) versionHash() uint64 {
 	var buffer [128]byte
 	data := append(buffer[:0], r.ID...)
 	data = append(data, 0, byte(r.State))
--- a/coordination/endpoints/table.go
+++ b/coordination/endpoints/table.go
@@ -19,10 +19,10 @@
 )
 
 type entry struct {
-	record  Record
-	bucket  uint8
-	sum     uint64
-	updated time.Time
+	record    Record
+	bucket    uint8
+	hash      uint64
+	updatedAt time.Time
 }
 
 type tombstone struct {
@@ -32,18 +32,18 @@
 
 // Table is the set of known records. It is not safe for concurrent use.
 type Table struct {
-	now        time.Time
-	limit      int
-	entries    map[string]*entry
-	leaving    map[string]time.Time
-	tombstones map[string]tombstone
-	// expiry lists the tombstones in the order in which they end; an entry whose tombstone is gone is skipped.
-	expiry  []tombstone
-	texts   map[string]string
-	sums    [BucketCount]uint64
-	digest  uint64
-	version uint64
-	dropped uint64
+	now           time.Time
+	limit         int
+	entries       map[string]*entry
+	expiringSince map[string]time.Time
+	tombstones    map[string]tombstone
+	// tombstoneOrder lists the tombstones in the order in which they end; an entry whose tombstone is gone is skipped.
+	tombstoneOrder []tombstone
+	interned       map[string]string
+	bucketDigests  [BucketCount]uint64
+	digest         uint64
+	version        uint64
+	rejected       uint64
 }
 
 // NewTable returns an empty table. A limit of 0 takes DefaultLimit.
@@ -52,12 +52,12 @@
 		limit = DefaultLimit
 	}
 	return &Table{
-		now:        now,
-		limit:      limit,
-		entries:    make(map[string]*entry),
-		leaving:    make(map[string]time.Time),
-		tombstones: make(map[string]tombstone),
-		texts:      make(map[string]string),
+		now:           now,
+		limit:         limit,
+		entries:       make(map[string]*entry),
+		expiringSince: make(map[string]time.Time),
+		tombstones:    make(map[string]tombstone),
+		interned:      make(map[string]string),
 	}
 }
 
@@ -66,7 +66,7 @@
 func (t *Table) Advance(now time.Time) []Record {
 	t.now = now
 	var removed []Record
-	for id, since := range t.leaving {
+	for id, since := range t.expiringSince {
 		if now.Sub(since) >= RemoveAfter {
 			removed = append(removed, t.entries[id].record)
 		}
@@ -75,7 +75,7 @@
 	for _, r := range removed {
 		t.remove(r.ID)
 	}
-	for len(t.expiry) > 0 && !now.Before(t.expiry[0].until) {
+	for len(t.tombstoneOrder) > 0 && !now.Before(t.tombstoneOrder[0].until) {
 		t.dropOldestTombstone()
 	}
 	return removed
@@ -94,7 +94,7 @@
 
 func (t *Table) merge(record Record) bool {
 	if !valid(record) {
-		t.dropped++
+		t.rejected++
 		return false
 	}
 	if stone, ok := t.tombstones[record.ID]; ok && record.Compare(stone.record) <= 0 {
@@ -105,7 +105,7 @@
 		return false
 	}
 	if !ok && len(t.entries) >= t.limit {
-		t.dropped++
+		t.rejected++
 		return false
 	}
 	if !ok {
@@ -126,64 +126,64 @@
 }
 
 func (t *Table) store(held *entry, record Record) {
-	t.toggle(held)
+	t.toggleInDigests(held)
 	record.Zone = t.intern(record.Zone)
 	record.Service = t.intern(record.Service)
 	record.Parent = t.intern(record.Parent)
 	held.record = record
-	held.sum = record.sum()
-	held.updated = t.now
-	t.toggle(held)
-	if record.Leaving() {
-		t.leaving[record.ID] = t.now
+	held.hash = record.versionHash()
+	held.updatedAt = t.now
+	t.toggleInDigests(held)
+	if record.Expiring() {
+		t.expiringSince[record.ID] = t.now
 	} else {
-		delete(t.leaving, record.ID)
+		delete(t.expiringSince, record.ID)
 	}
 	t.version++
 }
 
-// toggle adds an entry to the digests, or takes it out of them.
-func (t *Table) toggle(held *entry) {
-	t.sums[held.bucket] ^= held.sum
-	t.digest ^= held.sum
+// toggleInDigests adds an entry to the digests, or takes it out of them.
+func (t *Table) toggleInDigests(held *entry) {
+	t.bucketDigests[held.bucket] ^= held.hash
+	t.digest ^= held.hash
 }
 
 // intern lets records share the text of fields that few distinct values fill. The set is rebuilt when values that are
 // no longer used would make it grow without bound.
 func (t *Table) intern(text string) string {
-	if shared, ok := t.texts[text]; ok {
+	if shared, ok := t.interned[text]; ok {
 		return shared
 	}
-	if len(t.texts) > 2*t.limit {
-		clear(t.texts)
+	if len(t.interned) > 2*t.limit {
+		clear(t.interned)
 	}
 	text = strings.Clone(text)
-	t.texts[text] = text
+	t.interned[text] = text
 	return text
 }
 
 func (t *Table) remove(id string) {
 	held := t.entries[id]
-	t.toggle(held)
+	t.toggleInDigests(held)
 	delete(t.entries, id)
-	delete(t.leaving, id)
+	delete(t.expiringSince, id)
 	t.addTombstone(held.record)
 	t.version++
 }
 
 // addTombstone keeps at most as many tombstones as records; when the set is full, the oldest makes room.
 func (t *Table) addTombstone(record Record) {
-	if len(t.expiry) >= t.limit {
+	if len(t.tombstoneOrder) >= t.limit {
 		t.dropOldestTombstone()
 	}
 	stone := tombstone{record: record, until: t.now.Add(TombstoneLifetime)}
 	t.tombstones[record.ID] = stone
-	t.expiry = append(t.expiry, stone)
+	t.tombstoneOrder = append(t.tombstoneOrder, stone)
 }
 
 func (t *Table) dropOldestTombstone() {
-	oldest := t.expiry[0]
-	t.expiry = t.expiry[1:]
+	oldest := t.tombstoneOrder[0]
+	t.tombstoneOrder = t.tombstoneOrder[1:]
 	if held, ok := t.tombstones[oldest.record.ID]; ok && held.until.Equal(oldest.until) {
 		delete(t.tombstones, oldest.record.ID)
 	}
@@ -204,19 +204,19 @@
 	return held.record, true
 }
 
-// Updated returns the time at which the held version of a record was merged.
-func (t *Table) Updated(id string) (time.Time, bool) {
+// UpdatedAt returns the time at which the held version of a record was merged.
+func (t *Table) UpdatedAt(id string) (time.Time, bool) {
 	held, ok := t.entries[id]
 	if !ok {
 		return time.Time{}, false
 	}
-	return held.updated, true
+	return held.updatedAt, true
 }
 
-// Suspicion returns the record that publishes a held record as suspect; false if the record is unknown or leaving.
-func (t *Table) Suspicion(id string) (Record, bool) {
+// SuspectRecord returns the record that publishes a held record as suspect; false if the record is unknown or leaving.
+func (t *Table) SuspectRecord(id string) (Record, bool) {
 	record, ok := t.Get(id)
-	if !ok || record.Leaving() {
+	if !ok || record.Expiring() {
 		return Record{}, false
 	}
 	record.State = Suspect
@@ -231,8 +231,8 @@
 	return t.filter(func(e *entry) bool { return e.record.Zone == zone })
 }
 
-// Service returns the records of one service in tree order.
-func (t *Table) Service(name string) []Record {
+// OfService returns the records of one service in tree order.
+func (t *Table) OfService(name string) []Record {
 	return t.filter(func(e *entry) bool { return e.record.Service == name })
 }
 
@@ -243,7 +243,7 @@
 
 // Select returns the records for which keep holds, in tree order. The time is that of Updated.
 func (t *Table) Select(keep func(r Record, updated time.Time) bool) []Record {
-	return t.filter(func(e *entry) bool { return keep(e.record, e.updated) })
+	return t.filter(func(e *entry) bool { return keep(e.record, e.updatedAt) })
 }
 
 func (t *Table) filter(keep func(*entry) bool) []Record {
@@ -254,7 +254,7 @@
 		}
 	}
 	slices.SortFunc(records, func(a, b Record) int {
-		if a.Older(b) {
+		if a.Before(b) {
 			return -1
 		}
 		return 1
@@ -265,19 +265,19 @@
 // Len returns the number of records.
 func (t *Table) Len() int { return len(t.entries) }
 
-// LeavingCount returns the number of suspect and gone records.
-func (t *Table) LeavingCount() int { return len(t.leaving) }
+// ExpiringCount returns the number of suspect and gone records.
+func (t *Table) ExpiringCount() int { return len(t.expiringSince) }
 
 // Digest identifies the content of the table: equal tables have equal digests.
 func (t *Table) Digest() uint64 { return t.digest }
 
-// Buckets returns one digest per bucket.
-func (t *Table) Buckets() []uint64 { return slices.Clone(t.sums[:]) }
+// BucketDigests returns one digest per bucket.
+func (t *Table) BucketDigests() []uint64 { return slices.Clone(t.bucketDigests[:]) }
 
-// Differing marks the buckets whose digests differ from another table's.
-func (t *Table) Differing(buckets []uint64) (marked [BucketCount]bool, count int) {
-	for i := range t.sums {
-		if i >= len(buckets) || buckets[i] != t.sums[i] {
+// DifferingBuckets marks the buckets whose digests differ from another table's.
+func (t *Table) DifferingBuckets(buckets []uint64) (marked [BucketCount]bool, count int) {
+	for i := range t.bucketDigests {
+		if i >= len(buckets) || buckets[i] != t.bucketDigests[i] {
 			marked[i] = true
 			count++
 		}
@@ -288,7 +288,7 @@
 // Version grows with every change of the table.
 func (t *Table) Version() uint64 { return t.version }
 
-// Dropped counts records that were refused because they were malformed or the table was full.
-func (t *Table) Dropped() uint64 { return t.dropped }
+// Rejected counts records that were refused because they were malformed or the table was full.
+func (t *Table) Rejected() uint64 { return t.rejected }
 
 func bucketOf(id string) uint8 { return uint8(xxhash.Sum64String(id)) }
--- a/coordination/relay/admit.go
+++ b/coordination/relay/admit.go
@@ -126,7 +126,7 @@
 	var addresses []string
 	for _, r := range p.spread.table.InZone(joiner.Zone) {
 		order := Order{Incarnation: r.Incarnation, ID: r.ID}
-		if order.Before(joiner.Order()) && !r.Leaving() && r.Address != "" {
+		if order.Before(joiner.Order()) && !r.Expiring() && r.Address != "" {
 			addresses = append(addresses, r.Address)
 		}
 	}
--- a/coordination/relay/attach.go
+++ b/coordination/relay/attach.go
@@ -182,7 +182,7 @@
 	}
 	var targets []target
 	for _, i := range chosen {
-		if r := lower[i]; !r.Leaving() && r.Address != "" {
+		if r := lower[i]; !r.Expiring() && r.Address != "" {
 			targets = append(targets, target{address: r.Address})
 		}
 	}
--- a/coordination/relay/members.go
+++ b/coordination/relay/members.go
@@ -123,7 +123,7 @@
 	s.orphanAt = p.now.Add(orphanScan)
 	p.scans++
 	full := p.scans%fullScan == 0
-	if !full && (!p.config.Member || s.table.LeavingCount() == 0 && len(p.lost) == 0) {
+	if !full && (!p.config.Member || s.table.ExpiringCount() == 0 && len(p.lost) == 0) {
 		return
 	}
 	following := make(map[string]bool)
@@ -131,7 +131,7 @@
 		following[child.remote.ID] = true
 	}
 	orphans := s.table.Select(func(r endpoints.Record, updated time.Time) bool {
-		return !r.Leaving() && r.Parent != "" && !following[r.ID] && p.orphaned(r, updated)
+		return !r.Expiring() && r.Parent != "" && !following[r.ID] && p.orphaned(r, updated)
 	})
 	for _, r := range orphans {
 		p.suspect(r.ID)
@@ -155,8 +155,8 @@
 	if !ok {
 		return p.now.Sub(updated) >= endpoints.RemoveAfter && p.now.Sub(p.started) >= endpoints.RemoveAfter
 	}
-	suspected, _ := p.spread.table.Updated(r.Parent)
-	return parent.Leaving() && p.now.Sub(suspected) >= orphanGrace && p.now.Sub(updated) >= orphanGrace
+	suspected, _ := p.spread.table.UpdatedAt(r.Parent)
+	return parent.Expiring() && p.now.Sub(suspected) >= orphanGrace && p.now.Sub(updated) >= orphanGrace
 }
 
 func (p *Peer) isMember(id string) bool {
--- a/coordination/relay/sim_test.go
+++ b/coordination/relay/sim_test.go
@@ -484,7 +484,7 @@
 		}
 		live := 0
 		for _, r := range h.peer.Table().All() {
-			if !r.Leaving() {
+			if !r.Expiring() {
 				live++
 			}
 		}
@@ -493,7 +493,7 @@
 		}
 		for _, node := range nodes {
 			r, ok := h.peer.Table().Get(node.id)
-			if !ok || r.Leaving() || r.Incarnation != uint64(node.started)+1 {
+			if !ok || r.Expiring() || r.Incarnation != uint64(node.started)+1 {
 				return false
 			}
 		}
--- a/coordination/relay/spread.go
+++ b/coordination/relay/spread.go
@@ -264,7 +264,7 @@
 		p.sendRecords(l, table.All(), allBuckets())
 		return
 	}
-	sums := table.Buckets()
+	sums := table.BucketDigests()
 	data := make([]byte, 0, 8*len(sums))
 	for _, sum := range sums {
 		data = binary.LittleEndian.AppendUint64(data, sum)
@@ -290,7 +290,7 @@
 	for i := range sums {
 		sums[i] = binary.LittleEndian.Uint64(c.Sums[8*i:])
 	}
-	marked, _ := p.spread.table.Differing(sums)
+	marked, _ := p.spread.table.DifferingBuckets(sums)
 	var buckets []uint8
 	for i, differs := range marked {
 		if differs {
@@ -324,7 +324,7 @@
 }
 
 func (p *Peer) suspect(id string) {
-	if suspicion, ok := p.spread.table.Suspicion(id); ok {
+	if suspicion, ok := p.spread.table.SuspectRecord(id); ok {
 		p.stats.Suspected++
 		p.merge([]endpoints.Record{suspicion}, 0)
 	}
--- a/node/control.go
+++ b/node/control.go
@@ -136,7 +136,7 @@
 	}
 	var records []endpoints.Record
 	for _, service := range services {
-		records = append(records, n.peer.Table().Service(service)...)
+		records = append(records, n.peer.Table().OfService(service)...)
 	}
 	n.balancer.UpdateServices(now, services, n.balanceTable(now, records), current.services)
 }
