--- a/coordination/endpoints/endpoints_test.go
+++ b/coordination/endpoints/endpoints_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestEndpoints(t *testing.T) {
-	// A fixed seed gives the same verdict in every run.
+	// A fixed seed makes every run generate the same cases.
 	fixedseed.Set(t)
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "endpoints")
@@ -28,17 +28,17 @@
 }
 
 func drawRecords(t *rapid.T) []endpoints.Record {
-	one := rapid.Custom(func(t *rapid.T) endpoints.Record {
+	anyRecord := rapid.Custom(func(t *rapid.T) endpoints.Record {
 		id := fmt.Sprint("n", rapid.IntRange(0, 5).Draw(t, "id"))
 		state := endpoints.State(rapid.IntRange(1, 4).Draw(t, "state"))
 		return record(id, rapid.Uint64Range(1, 3).Draw(t, "inc"), rapid.Uint64Range(1, 4).Draw(t, "seq"), state)
 	})
-	return rapid.SliceOfN(one, 0, 40).Draw(t, "records")
+	return rapid.SliceOfN(anyRecord, 0, 40).Draw(t, "records")
 }
 
 var _ = Describe("Table", func() {
-	// Guards against tables that differ for ever because records arrived in another order or twice.
-	It("is independent of order and duplication", func() {
+	// Guards against tables that never become equal because records arrived in different orders or twice.
+	It("does not depend on the order of the records or on duplicates", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			records := drawRecords(t)
 			shuffled := append([]endpoints.Record(nil), records...)
@@ -57,14 +57,15 @@
 		})
 	})
 
-	// Guards against repairs that miss a record: every difference shows in a bucket, and merging it removes it.
-	It("finds all differences by buckets", func() {
+	// Guards against a comparison that misses a record: each difference must show in a bucket digest, and the tables must
+	// be equal after they exchanged the records of the differing buckets.
+	It("finds all differences by comparing bucket digests", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			a, b := endpoints.NewTable(start, 0), endpoints.NewTable(start, 0)
 			a.Merge(drawRecords(t))
 			b.Merge(drawRecords(t))
-			marked, _ := a.DifferingBuckets(b.BucketDigests())
-			fromA, fromB := a.InBuckets(&marked), b.InBuckets(&marked)
+			selected, _ := a.DifferingBuckets(b.BucketDigests())
+			fromA, fromB := a.InBuckets(&selected), b.InBuckets(&selected)
 			a.Merge(fromB)
 			b.Merge(fromA)
 			Expect(a.All()).To(Equal(b.All()))
@@ -72,19 +73,19 @@
 		})
 	})
 
-	It("lets a suspicion win over the record it is about, and a greater sequence over the suspicion", func() {
+	It("prefers a suspicion to the record that it refers to, and a record of greater sequence to the suspicion", func() {
 		table := endpoints.NewTable(start, 0)
 		table.Merge([]endpoints.Record{record("a", 1, 4, endpoints.Draining)})
-		suspicion, ok := table.SuspectRecord("a")
+		suspect, ok := table.SuspectRecord("a")
 		Expect(ok).To(BeTrue())
-		Expect(table.Merge([]endpoints.Record{suspicion})).To(HaveLen(1))
+		Expect(table.Merge([]endpoints.Record{suspect})).To(HaveLen(1))
 		Expect(table.Merge([]endpoints.Record{record("a", 1, 4, endpoints.Draining)})).To(BeEmpty())
 		Expect(table.Merge([]endpoints.Record{record("a", 1, 5, endpoints.Draining)})).To(HaveLen(1))
 		Expect(table.ExpiringCount()).To(BeZero())
 	})
 
-	// Guards against a late copy that brings an endpoint back after its removal.
-	It("keeps a dropped record out, but takes its refutation", func() {
+	// Guards against a delayed copy of a record that adds an upstream again after its removal.
+	It("rejects a removed record, but accepts a newer one of the same upstream", func() {
 		table := endpoints.NewTable(start, 0)
 		table.Merge([]endpoints.Record{record("a", 1, 4, endpoints.Suspect), record("b", 1, 1, endpoints.Gone)})
 		Expect(table.Advance(start.Add(59 * time.Second))).To(BeEmpty())
@@ -98,7 +99,7 @@
 		Expect(remembered).To(BeFalse())
 	})
 
-	It("stays bounded and refuses malformed records", func() {
+	It("holds no more records than its limit and rejects malformed ones", func() {
 		table := endpoints.NewTable(start, 10)
 		now := start
 		for i := range 1000 {
--- a/coordination/endpoints/record.go
+++ b/coordination/endpoints/record.go
@@ -1,6 +1,6 @@
-// Package endpoints holds the table of announced upstreams. Records spread through the distribution tree; the record
-// with the greater (incarnation, sequence) wins, so tables that have seen the same records are equal whatever the
-// order of arrival. The package reads no clock: the caller supplies the time.
+// Package endpoints holds the table of announced upstreams. Records are spread through the distribution tree. Of two
+// records of one upstream the one with the greater (incarnation, sequence) wins, so tables that received the same records
+// are equal whatever the order of arrival. The package reads no clock: the caller supplies the time.
 package endpoints
 
 import (
@@ -14,7 +14,8 @@
 // State is the state of an announced upstream.
 type State uint8
 
-// The states. Serving, Draining and Gone are announced by the node beside the upstream, Suspect by its parent.
+// Serving, Draining and Gone are announced by the upstream's own node. Suspect is published by that node's parent or by
+// a control member if the node does not respond.
 const (
 	Serving State = iota + 1
 	Draining
@@ -22,7 +23,7 @@
 	Suspect
 )
 
-// String returns the state's name.
+// String returns the state's name as it appears in logs and dumps.
 func (s State) String() string {
 	switch s {
 	case Serving:
@@ -38,23 +39,25 @@
 	}
 }
 
-// Failure detection. A node polls its parent every PollInterval; three silent intervals make it suspect.
+// Failure detection: a node polls its parent every PollInterval, and the parent suspects a node that sends no poll for
+// three intervals.
 const (
-	// PollInterval is the mean time between two polls of a child.
+	// PollInterval is the mean time between two polls by a child.
 	PollInterval = time.Second
-	// SuspectAfter is the silence after which a parent publishes a child as suspect. The longest time between two
-	// polls is 1.1 s, so a false alarm needs a poll that is delayed by more than 1.9 s. With a TCP retransmission
-	// timeout of 200 ms that doubles (0.2, 0.6, 1.4, 3.0 s), these are four losses of one segment in a row: p^4 per
-	// poll at segment loss p. See docs/distribution.md.
+	// SuspectAfter is the time without a message after which a parent publishes a child as suspect. The longest time
+	// between two polls is 1.1 s, so a false alarm needs a poll that is delayed by more than 1.9 s. With a TCP
+	// retransmission timeout of 200 ms that doubles (0.2, 0.6, 1.4, 3.0 s), these are four losses of one segment in a
+	// row: p^4 per poll at segment loss p. See docs/distribution.md.
 	SuspectAfter = 3 * time.Second
-	// RemoveAfter is the time after which a suspect or gone record is dropped.
+	// RemoveAfter is the time after which a suspect or gone record is removed from the table.
 	RemoveAfter = 60 * time.Second
-	// TombstoneLifetime bounds how long the version of a dropped record is remembered, so that a late copy of the
-	// record does not bring it back. It is longer than any link keeps a message.
+	// TombstoneLifetime is the time for which the version of a removed record is remembered, so that a delayed copy of
+	// the record does not add it again. It is longer than any link holds a message back.
 	TombstoneLifetime = 10 * time.Minute
 )
 
-// Record is the announcement of one upstream by the node beside it.
+// Record is the announcement of one upstream by its node. ID and Incarnation are those of the node; Sequence counts its
+// announcements. Slots is the number of calls that the upstream runs at once.
 type Record struct {
 	ID          string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
@@ -64,13 +67,14 @@
 	Address     string `cbor:"6,keyasint,omitempty"`
 	State       State  `cbor:"7,keyasint"`
 	Slots       int    `cbor:"8,keyasint,omitempty"`
-	// Parent is the node or member that the announcing node follows. When a parent and its children fail together,
-	// it tells who is left without a watcher.
+	// Parent is the ID of the announcing node's parent in the distribution tree: a node or a control member. If the
+	// parent fails together with its children, no peer monitors the children; Parent shows which nodes these are.
 	Parent string `cbor:"9,keyasint,omitempty"`
 }
 
-// Compare orders two records of one upstream by (incarnation, sequence). At equal versions a suspicion supersedes the
-// node's own announcement, and gone supersedes a suspicion, so the winner does not depend on the order of arrival.
+// Compare orders two records of one upstream by (incarnation, sequence). If both are equal, Suspect is greater than the
+// node's own Serving or Draining, and Gone is greater than Suspect. The record that a table keeps therefore does not
+// depend on the order of arrival.
 func (r Record) Compare(other Record) int {
 	return cmp.Or(
 		cmp.Compare(r.Incarnation, other.Incarnation),
@@ -79,17 +83,18 @@
 	)
 }
 
-// Before orders records of different nodes by (incarnation, id), the order of the distribution tree.
+// Before reports whether r precedes other in the order of the distribution tree: by (incarnation, ID).
 func (r Record) Before(other Record) bool {
 	return cmp.Or(cmp.Compare(r.Incarnation, other.Incarnation), cmp.Compare(r.ID, other.ID)) < 0
 }
 
-// Usable reports whether the upstream may receive new work.
+// Usable reports whether the upstream may receive new calls.
 func (r Record) Usable() bool { return r.State == Serving }
 
-// Expiring reports whether the record is to be dropped after RemoveAfter.
+// Expiring reports whether the record is removed after RemoveAfter unless a newer one replaces it.
 func (r Record) Expiring() bool { return r.State == Gone || r.State == Suspect }
 
+// precedence orders the states of records with equal incarnation and sequence; the greatest one wins.
 func (s State) precedence() int {
 	switch s {
 	case Serving:
@@ -103,7 +108,7 @@
 	}
 }
 
-// versionHash hashes what identifies the record's version. The other fields follow from it.
+// versionHash hashes the fields that identify the record's version. Records that agree in these agree in all fields.
 func (r Record) versionHash() uint64 {
 	var buffer [128]byte
 	data := append(buffer[:0], r.ID...)
--- a/coordination/endpoints/table.go
+++ b/coordination/endpoints/table.go
@@ -8,16 +8,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of a table.
 const (
-	// BucketCount is the number of buckets of the comparison. At 16,000 records a bucket holds about 62.
+	// BucketCount is the number of buckets into which a table is split to compare it with another one. Only buckets with
+	// different digests are exchanged. At 16,000 records a bucket holds about 62.
 	BucketCount = 256
-	// DefaultLimit bounds the records of a table: 2.5 times the design scale of 16,000 workers.
+	// DefaultLimit bounds the number of records of a table: 2.5 times the design scale of 16,000 workers.
 	DefaultLimit = 40_000
 	// maxTextBytes bounds each text field of a record.
 	maxTextBytes = 256
 )
 
+// entry is one record of a table with its hash and the bucket that it belongs to.
 type entry struct {
 	record    Record
 	bucket    uint8
@@ -25,6 +26,7 @@
 	updatedAt time.Time
 }
 
+// tombstone is the last version of a removed record; it is kept until a time.
 type tombstone struct {
 	record Record
 	until  time.Time
@@ -37,16 +39,18 @@
 	entries       map[string]*entry
 	expiringSince map[string]time.Time
 	tombstones    map[string]tombstone
-	// tombstoneOrder lists the tombstones in the order in which they end; an entry whose tombstone is gone is skipped.
+	// tombstoneOrder lists the tombstones in the order in which they expire. It may contain ones that have been deleted
+	// from tombstones; these are skipped.
 	tombstoneOrder []tombstone
 	interned       map[string]string
-	bucketDigests  [BucketCount]uint64
-	digest         uint64
-	version        uint64
-	rejected       uint64
+	// bucketDigests and digest are the XOR of the hashes of the records in each bucket and in the table.
+	bucketDigests [BucketCount]uint64
+	digest        uint64
+	version       uint64
+	rejected      uint64
 }
 
-// NewTable returns an empty table. A limit of 0 takes DefaultLimit.
+// NewTable returns an empty table for at most limit records. A limit of 0 means DefaultLimit.
 func NewTable(now time.Time, limit int) *Table {
 	if limit <= 0 {
 		limit = DefaultLimit
@@ -61,8 +65,8 @@
 	}
 }
 
-// Advance sets the time that Merge uses and drops the records that have been suspect or gone for RemoveAfter.
-// It returns the dropped records.
+// Advance sets the time that Merge uses and removes the records that have been suspect or gone for RemoveAfter.
+// It returns the removed records.
 func (t *Table) Advance(now time.Time) []Record {
 	t.now = now
 	var removed []Record
@@ -81,7 +85,7 @@
 	return removed
 }
 
-// Merge adds the records that are newer than the held ones and returns them.
+// Merge stores the records that are newer than those of the table or not in it, and returns the stored ones.
 func (t *Table) Merge(records []Record) []Record {
 	var changed []Record
 	for _, record := range records {
@@ -97,11 +101,11 @@
 		t.rejected++
 		return false
 	}
-	if stone, ok := t.tombstones[record.ID]; ok && record.Compare(stone.record) <= 0 {
+	if removed, ok := t.tombstones[record.ID]; ok && record.Compare(removed.record) <= 0 {
 		return false
 	}
-	held, ok := t.entries[record.ID]
-	if ok && record.Compare(held.record) <= 0 {
+	current, ok := t.entries[record.ID]
+	if ok && record.Compare(current.record) <= 0 {
 		return false
 	}
 	if !ok && len(t.entries) >= t.limit {
@@ -109,10 +113,10 @@
 		return false
 	}
 	if !ok {
-		held = &entry{bucket: bucketOf(record.ID)}
-		t.entries[strings.Clone(record.ID)] = held
+		current = &entry{bucket: bucketOf(record.ID)}
+		t.entries[strings.Clone(record.ID)] = current
 	}
-	t.store(held, record)
+	t.store(current, record)
 	delete(t.tombstones, record.ID)
 	return true
 }
@@ -125,15 +129,15 @@
 	return longest <= maxTextBytes
 }
 
-func (t *Table) store(held *entry, record Record) {
-	t.toggleInDigests(held)
+func (t *Table) store(current *entry, record Record) {
+	t.toggleInDigests(current)
 	record.Zone = t.intern(record.Zone)
 	record.Service = t.intern(record.Service)
 	record.Parent = t.intern(record.Parent)
-	held.record = record
-	held.hash = record.versionHash()
-	held.updatedAt = t.now
-	t.toggleInDigests(held)
+	current.record = record
+	current.hash = record.versionHash()
+	current.updatedAt = t.now
+	t.toggleInDigests(current)
 	if record.Expiring() {
 		t.expiringSince[record.ID] = t.now
 	} else {
@@ -142,14 +146,14 @@
 	t.version++
 }
 
-// toggleInDigests adds an entry to the digests, or takes it out of them.
-func (t *Table) toggleInDigests(held *entry) {
-	t.bucketDigests[held.bucket] ^= held.hash
-	t.digest ^= held.hash
+// toggleInDigests adds an entry's hash to the digests if it is not part of them, and removes it otherwise.
+func (t *Table) toggleInDigests(e *entry) {
+	t.bucketDigests[e.bucket] ^= e.hash
+	t.digest ^= e.hash
 }
 
-// intern lets records share the text of fields that few distinct values fill. The set is rebuilt when values that are
-// no longer used would make it grow without bound.
+// intern lets records share the memory of text fields that have few distinct values. The set of shared texts is cleared
+// when it has more than twice as many texts as the table may have records, because unused texts stay in it.
 func (t *Table) intern(text string) string {
 	if shared, ok := t.interned[text]; ok {
 		return shared
@@ -163,57 +167,59 @@
 }
 
 func (t *Table) remove(id string) {
-	held := t.entries[id]
-	t.toggleInDigests(held)
+	current := t.entries[id]
+	t.toggleInDigests(current)
 	delete(t.entries, id)
 	delete(t.expiringSince, id)
-	t.addTombstone(held.record)
+	t.addTombstone(current.record)
 	t.version++
 }
 
-// addTombstone keeps at most as many tombstones as records; when the set is full, the oldest makes room.
+// addTombstone remembers the version of a removed record. There are at most as many tombstones as the table may have
+// records; beyond that the oldest is dropped.
 func (t *Table) addTombstone(record Record) {
 	if len(t.tombstoneOrder) >= t.limit {
 		t.dropOldestTombstone()
 	}
-	stone := tombstone{record: record, until: t.now.Add(TombstoneLifetime)}
-	t.tombstones[record.ID] = stone
-	t.tombstoneOrder = append(t.tombstoneOrder, stone)
+	added := tombstone{record: record, until: t.now.Add(TombstoneLifetime)}
+	t.tombstones[record.ID] = added
+	t.tombstoneOrder = append(t.tombstoneOrder, added)
 }
 
 func (t *Table) dropOldestTombstone() {
 	oldest := t.tombstoneOrder[0]
 	t.tombstoneOrder = t.tombstoneOrder[1:]
-	if held, ok := t.tombstones[oldest.record.ID]; ok && held.until.Equal(oldest.until) {
+	if current, ok := t.tombstones[oldest.record.ID]; ok && current.until.Equal(oldest.until) {
 		delete(t.tombstones, oldest.record.ID)
 	}
 }
 
-// Tombstone returns the last version of a dropped record.
+// Tombstone returns the last version of a removed record; false if it is not or no longer remembered.
 func (t *Table) Tombstone(id string) (Record, bool) {
-	stone, ok := t.tombstones[id]
-	return stone.record, ok
+	removed, ok := t.tombstones[id]
+	return removed.record, ok
 }
 
 // Get returns the record of one upstream.
 func (t *Table) Get(id string) (Record, bool) {
-	held, ok := t.entries[id]
+	current, ok := t.entries[id]
 	if !ok {
 		return Record{}, false
 	}
-	return held.record, true
+	return current.record, true
 }
 
-// UpdatedAt returns the time at which the held version of a record was merged.
+// UpdatedAt returns the time at which the present version of a record was merged.
 func (t *Table) UpdatedAt(id string) (time.Time, bool) {
-	held, ok := t.entries[id]
+	current, ok := t.entries[id]
 	if !ok {
 		return time.Time{}, false
 	}
-	return held.updatedAt, true
+	return current.updatedAt, true
 }
 
-// SuspectRecord returns the record that publishes a held record as suspect; false if the record is unknown or leaving.
+// SuspectRecord returns the record that publishes an upstream as suspect; false if the upstream is unknown, suspect or
+// gone.
 func (t *Table) SuspectRecord(id string) (Record, bool) {
 	record, ok := t.Get(id)
 	if !ok || record.Expiring() {
@@ -236,21 +242,21 @@
 	return t.filter(func(e *entry) bool { return e.record.Service == name })
 }
 
-// InBuckets returns the records of the marked buckets in tree order.
-func (t *Table) InBuckets(marked *[BucketCount]bool) []Record {
-	return t.filter(func(e *entry) bool { return marked[e.bucket] })
+// InBuckets returns the records of the selected buckets in tree order.
+func (t *Table) InBuckets(selected *[BucketCount]bool) []Record {
+	return t.filter(func(e *entry) bool { return selected[e.bucket] })
 }
 
-// Select returns the records for which keep holds, in tree order. The time is that of Updated.
-func (t *Table) Select(keep func(r Record, updated time.Time) bool) []Record {
+// Select returns the records for which keep returns true, in tree order. updatedAt is the result of UpdatedAt.
+func (t *Table) Select(keep func(r Record, updatedAt time.Time) bool) []Record {
 	return t.filter(func(e *entry) bool { return keep(e.record, e.updatedAt) })
 }
 
 func (t *Table) filter(keep func(*entry) bool) []Record {
 	var records []Record
-	for _, held := range t.entries {
-		if keep(held) {
-			records = append(records, held.record)
+	for _, e := range t.entries {
+		if keep(e) {
+			records = append(records, e.record)
 		}
 	}
 	slices.SortFunc(records, func(a, b Record) int {
@@ -268,27 +274,27 @@
 // ExpiringCount returns the number of suspect and gone records.
 func (t *Table) ExpiringCount() int { return len(t.expiringSince) }
 
-// Digest identifies the content of the table: equal tables have equal digests.
+// Digest returns a hash of the table's content: equal tables have equal digests.
 func (t *Table) Digest() uint64 { return t.digest }
 
 // BucketDigests returns one digest per bucket.
 func (t *Table) BucketDigests() []uint64 { return slices.Clone(t.bucketDigests[:]) }
 
 // DifferingBuckets marks the buckets whose digests differ from another table's.
-func (t *Table) DifferingBuckets(buckets []uint64) (marked [BucketCount]bool, count int) {
+func (t *Table) DifferingBuckets(buckets []uint64) (selected [BucketCount]bool, count int) {
 	for i := range t.bucketDigests {
 		if i >= len(buckets) || buckets[i] != t.bucketDigests[i] {
-			marked[i] = true
+			selected[i] = true
 			count++
 		}
 	}
-	return marked, count
+	return selected, count
 }
 
-// Version grows with every change of the table.
+// Version returns a number that grows with every change of the table.
 func (t *Table) Version() uint64 { return t.version }
 
-// Rejected counts records that were refused because they were malformed or the table was full.
+// Rejected returns the number of records that Merge ignored because they were malformed or the table was full.
 func (t *Table) Rejected() uint64 { return t.rejected }
 
 func bucketOf(id string) uint8 { return uint8(xxhash.Sum64String(id)) }
