--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -1,7 +1,8 @@
-// Package membership decides, on the leader of the control members, which instances vote. It answers the loss of
-// members without an operator: disks that come back empty, instances that are gone for good and return elsewhere, and
-// two such losses at once. A change is proposed only one step at a time, and a member is removed only after its
-// replacement holds everything that is committed and votes, so that a second loss right after a repair loses nothing.
+// Package membership decides, on the leader of the control members, which control processes are voters of the Raft
+// group. It replaces lost members without an operator: members that restart with an empty disk, members that never come
+// back, and two such losses at once. It proposes one membership change at a time, and removes a member only after its
+// replacement is a voter and holds every committed entry. A second loss right after a replacement therefore loses no
+// committed entry.
 package membership
 
 import (
@@ -13,22 +14,23 @@
 )
 
 const (
-	// ReplaceAfter is the silence after which a voter is replaced by a waiting candidate. It is longer than a restart
-	// (about 1 s) and an election, so that a member that is only restarted keeps its vote.
+	// ReplaceAfter is the time without contact after which a voter is replaced, if a candidate is available. It is longer
+	// than a restart (about 1 s) and an election together, so that a member that only restarts stays a voter.
 	ReplaceAfter = 3 * time.Second
-	// candidateLifetime is the time for which a candidate counts as waiting after it was last heard of. It covers a few
-	// of its announcements.
+	// candidateLifetime is the time for which an announcement of a candidate is valid. It covers a few announcements, so
+	// that a lost one does not matter.
 	candidateLifetime = 2 * time.Second
-	// learnerPatience is the silence after which a learner that does not catch up gives way to another candidate.
-	learnerPatience = 2 * time.Second
+	// learnerTimeout is the time without contact after which a learner is removed in favour of another candidate.
+	learnerTimeout = 2 * time.Second
 )
 
-// Candidate is a control process that belongs to no group and asks to join.
+// Candidate is a control process that belongs to no group and asks to join. LastSeen is the time of its last
+// announcement.
 type Candidate struct {
-	ID      raft.MemberID
-	Address string
-	Zone    string
-	Seen    time.Time
+	ID       raft.MemberID
+	Address  string
+	Zone     string
+	LastSeen time.Time
 }
 
 // Candidates holds the control processes that ask to join. It is not safe for concurrent use.
@@ -36,7 +38,7 @@
 	byAddress map[string]Candidate
 }
 
-// Announce notes that a candidate asks to join. A later identity at the same address replaces the earlier one.
+// Announce records that a candidate asks to join. A new ID at the same address replaces the former one.
 func (c *Candidates) Announce(candidate Candidate) {
 	if c.byAddress == nil {
 		c.byAddress = make(map[string]Candidate)
@@ -44,20 +46,20 @@
 	c.byAddress[candidate.Address] = candidate
 }
 
-// waiting lists the candidates that were heard of lately and still hold their address, those of zones with the fewest
-// members first.
-func (c *Candidates) waiting(now time.Time, status raft.Status) []Candidate {
+// eligible lists the candidates whose last announcement is still valid and whose address is not in use by a member.
+// Candidates in the zones with the fewest members come first. Expired announcements are deleted.
+func (c *Candidates) eligible(now time.Time, status raft.Status) []Candidate {
 	members := make(map[string]int)
 	for _, member := range status.Membership.Members {
 		members[member.Zone]++
 	}
 	var list []Candidate
 	for address, candidate := range c.byAddress {
-		if now.Sub(candidate.Seen) > candidateLifetime {
+		if now.Sub(candidate.LastSeen) > candidateLifetime {
 			delete(c.byAddress, address)
 			continue
 		}
-		if _, member := status.Membership.Find(candidate.ID); !member && !outdated(now, status, candidate) {
+		if _, member := status.Membership.Find(candidate.ID); !member && !superseded(now, status, candidate) {
 			list = append(list, candidate)
 		}
 	}
@@ -67,25 +69,25 @@
 	return list
 }
 
-// outdated reports whether a member has been heard at a candidate's address since the candidate was: the process there
-// has joined under a later identity.
-func outdated(now time.Time, status raft.Status, candidate Candidate) bool {
+// superseded reports whether a member was in contact at the candidate's address after the candidate's last
+// announcement: the process at that address has joined under a newer ID.
+func superseded(now time.Time, status raft.Status, candidate Candidate) bool {
 	return slices.ContainsFunc(status.Membership.Members, func(member raft.Member) bool {
-		return member.Address == candidate.Address && !candidate.Seen.After(now.Add(-status.Progress[member.ID].Silence))
+		return member.Address == candidate.Address && !candidate.LastSeen.After(now.Add(-status.Progress[member.ID].Silence))
 	})
 }
 
-// Next returns the membership change that the leader proposes now, if any. voters is the number of members that vote
-// when nothing has failed.
-func Next(now time.Time, status raft.Status, candidates *Candidates, voters int) (raft.MembershipChange, bool) {
+// NextChange returns the membership change that the leader should propose now; false if there is none. targetVoters is
+// the number of voters when nothing has failed.
+func NextChange(now time.Time, status raft.Status, candidates *Candidates, targetVoters int) (raft.MembershipChange, bool) {
 	if status.Role != raft.RoleLeader || status.MembershipPending {
 		return raft.MembershipChange{}, false
 	}
-	waiting := candidates.waiting(now, status)
-	lost := lostVoters(status, waiting)
-	count := len(status.Membership.Voters())
-	if count > voters && len(lost) > 0 {
-		return raft.MembershipChange{Kind: raft.ChangeRemove, Member: raft.Member{ID: lost[0]}}, true
+	joining := candidates.eligible(now, status)
+	replaceable := replaceableVoters(status, joining)
+	voters := len(status.Membership.Voters())
+	if voters > targetVoters && len(replaceable) > 0 {
+		return raft.MembershipChange{Kind: raft.ChangeRemove, Member: raft.Member{ID: replaceable[0]}}, true
 	}
 	for _, member := range status.Membership.Members {
 		if !member.Learner {
@@ -93,31 +95,31 @@
 		}
 		progress := status.Progress[member.ID]
 		switch {
-		case reborn(member, waiting), progress.Silence > learnerPatience:
+		case addressTakenByCandidate(member, joining), progress.Silence > learnerTimeout:
 			return raft.MembershipChange{Kind: raft.ChangeRemove, Member: raft.Member{ID: member.ID}}, true
 		case progress.Match >= status.Commit && progress.SinceContact >= 0:
 			return raft.MembershipChange{Kind: raft.ChangePromote, Member: raft.Member{ID: member.ID}}, true
 		}
-		// One learner at a time: its promotion or removal comes first.
+		// Only one learner at a time: it is promoted or removed before another candidate is added.
 		return raft.MembershipChange{}, false
 	}
-	if len(waiting) == 0 || count >= voters && len(lost) == 0 {
+	if len(joining) == 0 || voters >= targetVoters && len(replaceable) == 0 {
 		return raft.MembershipChange{}, false
 	}
-	chosen := waiting[0]
+	chosen := joining[0]
 	return raft.MembershipChange{Kind: raft.ChangeAddLearner, Member: raft.Member{
 		ID: chosen.ID, Address: chosen.Address, Zone: chosen.Zone, Learner: true,
 	}}, true
 }
 
-// lostVoters lists the voters that should be replaced: first those whose address now belongs to a candidate, which
-// proves that their disk is gone, then those that have been silent for long.
-func lostVoters(status raft.Status, waiting []Candidate) []raft.MemberID {
+// replaceableVoters lists the voters that should be replaced. First come those whose address is now used by another ID,
+// which proves that their disk was lost, then those without contact for longer than ReplaceAfter.
+func replaceableVoters(status raft.Status, joining []Candidate) []raft.MemberID {
 	var wiped, silent []raft.MemberID
 	for _, member := range status.Membership.Members {
 		switch {
 		case member.Learner || member.ID == status.ID:
-		case reborn(member, waiting) || supplanted(member, status):
+		case addressTakenByCandidate(member, joining) || addressTakenByMember(member, status):
 			wiped = append(wiped, member.ID)
 		case status.Progress[member.ID].Silence > ReplaceAfter:
 			silent = append(silent, member.ID)
@@ -126,13 +128,13 @@
 	return append(wiped, silent...)
 }
 
-// reborn reports whether a candidate with another identity answers at a member's address.
-func reborn(member raft.Member, waiting []Candidate) bool {
-	return slices.ContainsFunc(waiting, func(c Candidate) bool { return c.Address == member.Address && c.ID != member.ID })
+// addressTakenByCandidate reports whether a candidate with another ID announces the member's address as its own.
+func addressTakenByCandidate(member raft.Member, joining []Candidate) bool {
+	return slices.ContainsFunc(joining, func(c Candidate) bool { return c.Address == member.Address && c.ID != member.ID })
 }
 
-// supplanted reports whether another member has been heard at the same address since this one was.
-func supplanted(member raft.Member, status raft.Status) bool {
+// addressTakenByMember reports whether another member was in contact at the same address more recently than this one.
+func addressTakenByMember(member raft.Member, status raft.Status) bool {
 	return slices.ContainsFunc(status.Membership.Members, func(other raft.Member) bool {
 		return other.ID != member.ID && other.Address == member.Address &&
 			status.Progress[other.ID].Silence < status.Progress[member.ID].Silence
