--- a/coordination/execution/execution_test.go
+++ b/coordination/execution/execution_test.go
@@ -64,7 +64,7 @@
 		}
 	case c.Record != nil:
 		if s.status == ledger.Claimed && s.holder == attemptID(c.Record.Executor, c.Record.Incarnation, c.Record.Attempt) {
-			s.status, s.response = ledger.Done, string(c.Record.Answer.Body)
+			s.status, s.response = ledger.Done, string(c.Record.Response.Body)
 		}
 	case c.Release != nil && s.status != ledger.Done:
 		holder := attemptID(c.Release.Executor, c.Release.Incarnation, c.Release.Attempt)
--- a/coordination/execution/statemachine_test.go
+++ b/coordination/execution/statemachine_test.go
@@ -31,7 +31,7 @@
 		Expect(m.BeginWrite(at(2))).To(BeTrue())
 		Expect(m.CallerGone(at(3))).To(BeEmpty())
 		record := execution.SendRecord{Record: ledger.Record{
-			Key: "k", Executor: "a", Incarnation: 2, Attempt: 7, Answer: ledger.Response{Status: 201, Dropped: true},
+			Key: "k", Executor: "a", Incarnation: 2, Attempt: 7, Response: ledger.Response{Status: 201, Dropped: true},
 		}}
 		tooLarge := ledger.Response{Status: 201, Body: make([]byte, 11)}
 		Expect(m.UpstreamResponse(at(5000), tooLarge)).To(HaveExactElements(execution.FreeSlot{}, record))
@@ -83,7 +83,7 @@
 	DescribeTable("replies from the ledger's result without running the call", func(r ledger.Result, expected execution.Reply) {
 		Expect(m.ClaimResult(at(1), r)).To(ContainElements(expected, execution.FreeSlot{}))
 	},
-		Entry("done", ledger.Result{Status: ledger.Done, Answer: &ledger.Response{Status: 201}},
+		Entry("done", ledger.Result{Status: ledger.Done, Response: &ledger.Response{Status: 201}},
 			execution.Reply{Outcome: execution.OutcomeDone, Response: &ledger.Response{Status: 201}}),
 		Entry("key reused", ledger.Result{Status: ledger.KeyReused}, reply(execution.OutcomeNotRun, execution.ReasonKeyReused)),
 		Entry("key expired", ledger.Result{Status: ledger.Expired}, reply(execution.OutcomeNotRun, execution.ReasonKeyExpired)),
