--- a/node/admin.go
+++ b/node/admin.go
@@ -45,7 +45,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := n.executor.accept(announcement); err != nil {
+	if err := n.executor.acceptAnnouncement(announcement); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -70,7 +70,7 @@
 }
 
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if !n.Serving() {
+	if !n.Ready() {
 		http.Error(w, "no configuration is in force, or the node is leaving", http.StatusServiceUnavailable)
 		return
 	}
@@ -90,7 +90,7 @@
 	}
 	report, changed := n.quarantine.Clear(time.Now(), fingerprints...)
 	if changed {
-		n.publishReport(report)
+		n.publishCrashReport(report)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/node/announce.go
+++ b/node/announce.go
@@ -13,13 +13,13 @@
 
 // accept takes an announcement of the upstream beside this node. A repeated announcement changes nothing, apart from
 // ending a drain.
-func (e *executor) accept(announcement Announcement) error {
+func (e *executor) acceptAnnouncement(announcement Announcement) error {
 	if err := announcement.Validate(); err != nil {
 		return err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.leaving {
+	if e.stopping {
 		return nil
 	}
 	if e.upstream == nil || e.upstream.announcement != announcement {
@@ -33,13 +33,13 @@
 	if e.state == upstreamDraining || e.state == upstreamAbsent {
 		// A queue that drains refuses calls for good.
 		e.queue = admission.New(e.queueConfig())
-		e.waiting = make(map[uint64]chan admission.Verdict)
+		e.waiters = make(map[uint64]chan admission.Verdict)
 	} else {
 		e.queue.Resize(e.slots())
 	}
 	e.state = upstreamServing
 	e.announceState(endpoints.Serving)
-	e.decide(e.queue.Expire(time.Now()))
+	e.applyDecisions(e.queue.Expire(time.Now()))
 	e.logger.Info().Str("service", announcement.Service).Str("address", announcement.Address).
 		Int("slots", announcement.Slots).Msg("upstream announced itself")
 	return nil
@@ -60,7 +60,7 @@
 		return config
 	}
 	config.Slots = e.slots()
-	config.QueueLimit = queuePerSlot * config.Slots
+	config.QueueLimit = defaultQueuePerSlot * config.Slots
 	if service, ok := e.service(e.upstream.announcement.Service); ok && service.QueueLimit > 0 {
 		config.QueueLimit = service.QueueLimit
 	}
@@ -69,7 +69,7 @@
 
 // queuePerSlot bounds the wait to about as many service times, unless a service sets a queue limit. Callers give up
 // before their deadline: with 4 per slot, 8% of the lookups in overload-2x ran for callers that had left.
-const queuePerSlot = 2
+const defaultQueuePerSlot = 2
 
 // reconfigure applies the service settings of a new version.
 func (e *executor) reconfigure() {
@@ -79,13 +79,13 @@
 		return
 	}
 	e.queue.Resize(e.slots())
-	e.decide(e.queue.Expire(time.Now()))
+	e.applyDecisions(e.queue.Expire(time.Now()))
 }
 
 // leave drains for good: this process is about to end, whatever its upstream says.
-func (e *executor) leave() {
+func (e *executor) drainForStop() {
 	e.mu.Lock()
-	e.leaving = true
+	e.stopping = true
 	e.mu.Unlock()
 	e.drain()
 }
@@ -98,17 +98,17 @@
 		return
 	}
 	e.state = upstreamDraining
-	e.drained = time.Now()
+	e.drainStarted = time.Now()
 	e.queue.Drain()
-	e.decide(e.queue.Expire(time.Now()))
+	e.applyDecisions(e.queue.Expire(time.Now()))
 	e.announceState(endpoints.Draining)
-	e.logger.Info().Int("in_flight", len(e.running)).Msg("upstream is leaving; calls in flight finish")
+	e.logger.Info().Int("in_flight", len(e.active)).Msg("upstream is leaving; calls in flight finish")
 	e.background.start(e.announceGone)
 }
 
 // announceGone publishes the end of a drain, unless the upstream announces itself again first.
 func (e *executor) announceGone() {
-	if err := e.idle(e.ctx); err != nil {
+	if err := e.waitIdle(e.ctx); err != nil {
 		return
 	}
 	e.mu.Lock()
@@ -119,10 +119,10 @@
 }
 
 // idle waits until no call is in flight, nor on its way between claim and slot.
-func (e *executor) idle(ctx context.Context) error {
+func (e *executor) waitIdle(ctx context.Context) error {
 	for {
 		e.mu.Lock()
-		count := len(e.running) + e.claiming
+		count := len(e.active) + e.pendingClaims
 		e.mu.Unlock()
 		if count == 0 {
 			return nil
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -49,9 +49,9 @@
 	for ; !ok; record, ok = executor.OwnRecord() {
 		time.Sleep(time.Millisecond)
 	}
-	check(b, ingress.Learn(record))
+	check(b, ingress.MergeEndpoint(record))
 	for i := range known {
-		check(b, ingress.Learn(endpoints.Record{
+		check(b, ingress.MergeEndpoint(endpoints.Record{
 			ID: fmt.Sprint("other-", i), Incarnation: 1, Sequence: 1, Zone: "a", Service: fmt.Sprint("service-", i/10),
 			Address: "127.0.0.1:1", State: endpoints.Serving, Slots: 10,
 		}))
--- a/node/call_stream.go
+++ b/node/call_stream.go
@@ -15,7 +15,7 @@
 )
 
 // errCut means that a Call stream ended before its last frame.
-var errCut = errors.New("node: call stream ended early")
+var errStreamTruncated = errors.New("node: call stream ended early")
 
 // Call serves calls that other nodes send to the upstream beside this one.
 func (n *Node) Call(stream rpc.CallServerStream) error {
@@ -26,69 +26,69 @@
 	if first.Metadata == nil {
 		return errors.Wrap(protocol.ErrMalformed, "call without a head")
 	}
-	body := &requestBody{start: first.Body, trailer: first.Trailer}
+	body := &requestBody{prefix: first.Body, trailer: first.Trailer}
 	if !first.Last {
 		body.trailer = declaredTrailer(first.Metadata.TrailerNames)
 		body.rest = &frameReader{recv: stream.Recv, trailer: body.trailer}
 	}
-	progress := startProgress(stream, first.Metadata.Progress)
-	answer := n.executor.run(stream.Context(), first.Metadata, body)
+	progress := startProgressNotifier(stream, first.Metadata.Progress)
+	reply := n.executor.run(stream.Context(), first.Metadata, body)
 	progress.stop()
-	defer answer.finish()
-	return sendReply(stream, answer)
+	defer reply.finish()
+	return sendReply(stream, reply)
 }
 
 // progressDelay is after which time an executor tells the ingress that it has a call. Shorter calls need no such frame.
 const progressDelay = 20 * time.Millisecond
 
 // progress sends one frame if a call takes long, so that the ingress can tell a busy upstream from a silent partition.
-type progress struct {
-	mu     sync.Mutex
-	ended  bool
-	timer  *time.Timer
-	stream rpc.CallServerStream
+type progressNotifier struct {
+	mu      sync.Mutex
+	stopped bool
+	timer   *time.Timer
+	stream  rpc.CallServerStream
 }
 
-func startProgress(stream rpc.CallServerStream, wanted bool) *progress {
-	p := &progress{stream: stream}
-	if !wanted {
+func startProgressNotifier(stream rpc.CallServerStream, enabled bool) *progressNotifier {
+	p := &progressNotifier{stream: stream}
+	if !enabled {
 		return p
 	}
 	p.timer = time.AfterFunc(progressDelay, p.send)
 	return p
 }
 
-func (p *progress) send() {
+func (p *progressNotifier) send() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.ended {
+	if !p.stopped {
 		// A broken stream is noticed when the answer is sent.
 		_ = p.stream.Send(&protocol.ReplyFrame{Progress: true})
 	}
 }
 
 // stop returns once no progress frame is being sent: a stream takes one frame at a time.
-func (p *progress) stop() {
+func (p *progressNotifier) stop() {
 	if p.timer == nil {
 		return
 	}
 	p.timer.Stop()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = true
+	p.stopped = true
 }
 
-func sendReply(stream rpc.CallServerStream, answer *reply) error {
-	frame := &protocol.ReplyFrame{Metadata: &answer.head, Body: answer.body}
-	if answer.stream == nil {
+func sendReply(stream rpc.CallServerStream, reply *callReply) error {
+	frame := &protocol.ReplyFrame{Metadata: &reply.metadata, Body: reply.body}
+	if reply.stream == nil {
 		frame.Last = true
-		frame.Trailer = answer.trailer
+		frame.Trailer = reply.trailer
 	}
 	if err := stream.Send(frame); err != nil {
 		return err
 	}
-	for answer.stream != nil {
-		frame, err := answer.stream.Next()
+	for reply.stream != nil {
+		frame, err := reply.stream.Next()
 		if err != nil {
 			return err
 		}
@@ -106,7 +106,7 @@
 type frameReader struct {
 	recv    func() (*protocol.CallFrame, error)
 	pending []byte
-	ended   bool
+	done    bool
 	// trailer receives the values of the declared fields with the last frame.
 	trailer http.Header
 }
@@ -127,14 +127,14 @@
 // a cut request for a whole one.
 func (r *frameReader) Read(data []byte) (int, error) {
 	for len(r.pending) == 0 {
-		if r.ended {
+		if r.done {
 			return 0, io.EOF
 		}
 		frame, err := r.recv()
 		if err != nil {
-			return 0, errors.Wrap(errCut, "request body")
+			return 0, errors.Wrap(errStreamTruncated, "request body")
 		}
-		r.pending, r.ended = frame.Body, frame.Last
+		r.pending, r.done = frame.Body, frame.Last
 		for name := range r.trailer {
 			r.trailer[name] = frame.Trailer[name]
 		}
@@ -146,55 +146,55 @@
 
 // callRemote sends a call to the node beside the target. It calls reached once the executor has shown that it has it.
 func (n *Node) callRemote(
-	caller context.Context, target balance.Target, head *protocol.CallMetadata, body *requestBody, reached func(),
-) *reply {
-	ctx, cancel := context.WithCancel(caller)
-	pending := n.liveness.sent(target, head.Class, cancel)
-	defer pending.end()
+	callerCtx context.Context, target balance.Target, meta *protocol.CallMetadata, body *requestBody, onAcknowledged func(),
+) *callReply {
+	ctx, cancel := context.WithCancel(callerCtx)
+	pending := n.liveness.trackCall(target, meta.Class, cancel)
+	defer pending.finish()
 	stream, err := n.calls.Call(ctx, target.Address)
 	if err != nil {
 		cancel()
 		// No frame was sent, so the call cannot have run.
-		return refusal(protocol.ReasonNodeFailed)
+		return notRunReply(protocol.ReasonNodeFailed)
 	}
-	if err := sendCall(stream, head, body); err != nil {
+	if err := sendCall(stream, meta, body); err != nil {
 		cancel()
-		return brokenCall(caller, err)
+		return failedCallReply(callerCtx, err)
 	}
 	first, err := stream.Recv()
 	if err == nil && first.Progress {
-		reached()
-		pending.heard()
+		onAcknowledged()
+		pending.responded()
 		first, err = stream.Recv()
 	}
 	if err != nil || first.Metadata == nil {
 		cancel()
-		return brokenCall(caller, err)
+		return failedCallReply(callerCtx, err)
 	}
-	pending.heard()
-	answer := &reply{head: *first.Metadata, body: first.Body, trailer: first.Trailer, done: cancel}
+	pending.responded()
+	reply := &callReply{metadata: *first.Metadata, body: first.Body, trailer: first.Trailer, onFinish: cancel}
 	if first.Last {
-		return answer
+		return reply
 	}
-	answer.stream = &remoteStream{stream: stream, cancel: cancel}
-	return answer
+	reply.stream = &remoteStream{stream: stream, cancel: cancel}
+	return reply
 }
 
 // brokenCall explains why a call that was sent has no answer.
-func brokenCall(caller context.Context, err error) *reply {
+func failedCallReply(callerCtx context.Context, err error) *callReply {
 	switch {
-	case errors.Is(caller.Err(), context.DeadlineExceeded), errors.Is(err, rpc.ErrTimeout):
-		return uncertain(protocol.ReasonDeadline)
-	case caller.Err() != nil:
-		return uncertain(protocol.ReasonCallerGone)
+	case errors.Is(callerCtx.Err(), context.DeadlineExceeded), errors.Is(err, rpc.ErrTimeout):
+		return unknownReply(protocol.ReasonDeadline)
+	case callerCtx.Err() != nil:
+		return unknownReply(protocol.ReasonCallerGone)
 	}
-	return uncertain(protocol.ReasonNodeFailed)
+	return unknownReply(protocol.ReasonNodeFailed)
 }
 
 // sendCall sends the head with the start of the body, then the rest.
-func sendCall(stream rpc.CallClientStream, head *protocol.CallMetadata, body *requestBody) error {
-	first := &protocol.CallFrame{Metadata: head, Body: body.start, Last: body.whole()}
-	if body.whole() {
+func sendCall(stream rpc.CallClientStream, meta *protocol.CallMetadata, body *requestBody) error {
+	first := &protocol.CallFrame{Metadata: meta, Body: body.prefix, Last: body.buffered()}
+	if body.buffered() {
 		first.Trailer = body.trailer
 		return stream.Send(first)
 	}
@@ -203,18 +203,18 @@
 	}
 	for {
 		buffer := make([]byte, protocol.ChunkBytes)
-		n, ended, err := readChunk(body.rest, buffer)
+		n, last, err := readChunk(body.rest, buffer)
 		if err != nil {
 			return err
 		}
-		frame := &protocol.CallFrame{Body: buffer[:n], Last: ended}
-		if ended {
+		frame := &protocol.CallFrame{Body: buffer[:n], Last: last}
+		if last {
 			frame.Trailer = body.trailer
 		}
 		if err := stream.Send(frame); err != nil {
 			return err
 		}
-		if ended {
+		if last {
 			return nil
 		}
 	}
@@ -230,7 +230,7 @@
 func (s *remoteStream) Next() (*protocol.ReplyFrame, error) {
 	frame, err := s.stream.Recv()
 	if err != nil {
-		return nil, errors.Wrapf(errCut, "%v", err)
+		return nil, errors.Wrapf(errStreamTruncated, "%v", err)
 	}
 	return frame, nil
 }
--- a/node/control.go
+++ b/node/control.go
@@ -26,13 +26,13 @@
 		metrics:     n.metrics,
 		requestLog:  newRequestLog(logging.Part(n.options.Logger, "executor"), n.metrics.linesDropped),
 
-		settingsService: n.options.Service,
-		dialect:         &n.options.Dialect,
+		configuredService: n.options.Service,
+		dialect:           &n.options.Dialect,
 
 		healthInterval: n.options.Limits.HealthInterval,
 		queue:          admission.New(admission.Config{Slots: 1}),
-		waiting:        make(map[uint64]chan admission.Verdict),
-		running:        make(map[uint64]*runningCall),
+		waiters:        make(map[uint64]chan admission.Verdict),
+		active:         make(map[uint64]*activeCall),
 		ledger:         &ledgerClient{pool: n.ledgerPool, members: func() []string { return n.options.Members }},
 		service: func(name string) (bundle.Service, bool) {
 			current := n.snapshot.Load()
@@ -46,7 +46,7 @@
 			record.Address = n.options.Advertise
 			go n.control.Post(func(now time.Time) { n.peer.Announce(now, record) })
 		},
-		publish: n.publishReport,
+		publish: n.publishCrashReport,
 	}
 	e.ctx, e.stop = context.WithCancel(n.ctx)
 	return e
@@ -56,8 +56,8 @@
 func (e *executor) close() {
 	e.stop()
 	e.mu.Lock()
-	if e.expiry != nil {
-		e.expiry.Stop()
+	if e.expiryTimer != nil {
+		e.expiryTimer.Stop()
 	}
 	current := e.upstream
 	e.mu.Unlock()
@@ -79,7 +79,7 @@
 			n.changedIDs[id] = true
 		}
 	case relay.CrashesReceived:
-		n.observeReports(now, output.Reports)
+		n.observeCrashReports(now, output.Reports)
 	}
 }
 
@@ -107,7 +107,7 @@
 }
 
 // seenEndpoint is what the balancer was last told of an endpoint.
-type seenEndpoint struct {
+type knownEndpoint struct {
 	incarnation uint64
 	service     string
 	state       endpoints.State
@@ -131,14 +131,14 @@
 	clear(n.changedIDs)
 	if n.refreshAll || len(services) > maxPartialServices {
 		n.refreshAll = false
-		n.balancer.Update(now, n.balanceTable(now, n.peer.Table().All()), current.services)
+		n.balancer.Update(now, n.balancerEndpoints(now, n.peer.Table().All()), current.services)
 		return
 	}
 	var records []endpoints.Record
 	for _, service := range services {
 		records = append(records, n.peer.Table().OfService(service)...)
 	}
-	n.balancer.UpdateServices(now, services, n.balanceTable(now, records), current.services)
+	n.balancer.UpdateServices(now, services, n.balancerEndpoints(now, records), current.services)
 }
 
 // changedServices lists the services that changed records belong to, or belonged to before. It forgets records that
@@ -146,12 +146,12 @@
 func (n *Node) changedServices() []string {
 	changed := make(map[string]bool)
 	for id := range n.changedIDs {
-		if seen, ok := n.seen[id]; ok {
-			changed[seen.service] = true
+		if known, ok := n.knownEndpoints[id]; ok {
+			changed[known.service] = true
 		}
 		record, ok := n.peer.Table().Get(id)
 		if !ok {
-			delete(n.seen, id)
+			delete(n.knownEndpoints, id)
 			continue
 		}
 		changed[record.Service] = true
@@ -160,35 +160,35 @@
 	return slices.Sorted(maps.Keys(changed))
 }
 
-func (n *Node) balanceTable(now time.Time, records []endpoints.Record) []balance.Endpoint {
-	first := len(n.seen) == 0
+func (n *Node) balancerEndpoints(now time.Time, records []endpoints.Record) []balance.Endpoint {
+	firstTable := len(n.knownEndpoints) == 0
 	table := make([]balance.Endpoint, 0, len(records))
 	for _, record := range records {
 		if record.Service == "" {
 			continue
 		}
-		seen := n.sight(now, record, first)
-		n.seen[record.ID] = seen
+		known := n.observeEndpoint(now, record, firstTable)
+		n.knownEndpoints[record.ID] = known
 		table = append(table, balance.Endpoint{
 			ID: record.ID, Incarnation: record.Incarnation, Zone: record.Zone, Service: record.Service,
-			Address: record.Address, State: balanceStates[record.State], Slots: record.Slots, ServingSince: seen.since,
+			Address: record.Address, State: balanceStates[record.State], Slots: record.Slots, ServingSince: known.since,
 		})
 	}
 	return table
 }
 
 // sight notes since when an upstream serves. What is there when this node starts has probably served for long.
-func (n *Node) sight(now time.Time, record endpoints.Record, first bool) seenEndpoint {
-	known, ok := n.seen[record.ID]
-	sight := seenEndpoint{incarnation: record.Incarnation, service: record.Service, state: record.State, since: now}
-	returned := known.state == endpoints.Gone && record.State != endpoints.Gone
+func (n *Node) observeEndpoint(now time.Time, record endpoints.Record, firstTable bool) knownEndpoint {
+	known, ok := n.knownEndpoints[record.ID]
+	observed := knownEndpoint{incarnation: record.Incarnation, service: record.Service, state: record.State, since: now}
+	servesAgain := known.state == endpoints.Gone && record.State != endpoints.Gone
 	switch {
-	case first:
-		sight.since = time.Time{}
-	case ok && known.incarnation == record.Incarnation && !returned:
-		sight.since = known.since
+	case firstTable:
+		observed.since = time.Time{}
+	case ok && known.incarnation == record.Incarnation && !servesAgain:
+		observed.since = known.since
 	}
-	return sight
+	return observed
 }
 
 var balanceStates = map[endpoints.State]balance.State{
@@ -199,7 +199,7 @@
 }
 
 // publishReport spreads a crash report or clearance through the tree.
-func (n *Node) publishReport(report quarantine.Report) {
+func (n *Node) publishCrashReport(report quarantine.Report) {
 	encoded, err := protocol.EncodeCrashReport(report)
 	if err != nil {
 		n.logger.Error().Err(err).Msg("cannot encode a crash report")
@@ -208,7 +208,7 @@
 	n.control.Post(func(now time.Time) { n.peer.PublishCrash(now, []relay.CrashReport{encoded}) })
 }
 
-func (n *Node) observeReports(now time.Time, reports []relay.CrashReport) {
+func (n *Node) observeCrashReports(now time.Time, reports []relay.CrashReport) {
 	for _, encoded := range reports {
 		report, err := protocol.DecodeCrashReport(encoded)
 		if err != nil {
--- a/node/crash.go
+++ b/node/crash.go
@@ -16,7 +16,7 @@
 
 // explainBreak reports whether the upstream died. All calls in flight at that time share one check, and wait for it, so
 // that none is sent again before the suspects are known.
-func (e *executor) explainBreak(ctx context.Context, slot *place) bool {
+func (e *executor) awaitCrashCheck(ctx context.Context, slot *grantedSlot) bool {
 	check := e.startCrashCheck(slot)
 	if check == nil {
 		return false
@@ -31,7 +31,7 @@
 
 // startCrashCheck probes the upstream with the requests that are in flight now. It returns nil if the upstream has been
 // replaced by another announcement.
-func (e *executor) startCrashCheck(slot *place) *crashCheck {
+func (e *executor) startCrashCheck(slot *grantedSlot) *crashCheck {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.upstream != slot.upstream || e.state == upstreamAbsent {
@@ -42,8 +42,8 @@
 	}
 	check := &crashCheck{done: make(chan struct{})}
 	e.crashCheck = check
-	suspects, isolated := e.inFlight()
-	if !e.background.start(func() { e.probeCrash(check, slot.upstream, suspects, isolated) }) {
+	suspects, isolated := e.suspects()
+	if !e.background.start(func() { e.runCrashCheck(check, slot.upstream, suspects, isolated) }) {
 		e.crashCheck = nil
 		return nil
 	}
@@ -51,26 +51,26 @@
 }
 
 // inFlight returns the requests that hold a slot, and whether the only one runs alone. The lock is held.
-func (e *executor) inFlight() ([]quarantine.Fingerprint, bool) {
+func (e *executor) suspects() ([]quarantine.Fingerprint, bool) {
 	var fingerprints []quarantine.Fingerprint
-	alone := false
-	for _, call := range e.running {
+	exclusive := false
+	for _, call := range e.active {
 		if call.started.IsZero() {
 			continue
 		}
 		fingerprints = append(fingerprints, call.fingerprint)
-		alone = call.alone
+		exclusive = call.exclusive
 	}
-	return fingerprints, alone && len(fingerprints) == 1
+	return fingerprints, exclusive && len(fingerprints) == 1
 }
 
-func (e *executor) probeCrash(
+func (e *executor) runCrashCheck(
 	check *crashCheck, probed *upstream, suspects []quarantine.Fingerprint, isolated bool,
 ) {
-	alive := probed.accepts(e.ctx)
-	if !alive && e.ctx.Err() == nil {
+	accepting := probed.acceptsConnections(e.ctx)
+	if !accepting && e.ctx.Err() == nil {
 		check.crashed = true
-		e.upstreamDied(probed, suspects, isolated)
+		e.markUpstreamDown(probed, suspects, isolated)
 	}
 	e.mu.Lock()
 	e.crashCheck = nil
@@ -79,17 +79,17 @@
 }
 
 // upstreamDied publishes the suspects, takes the upstream out of service and watches for its return.
-func (e *executor) upstreamDied(died *upstream, suspects []quarantine.Fingerprint, isolated bool) {
+func (e *executor) markUpstreamDown(failed *upstream, suspects []quarantine.Fingerprint, isolated bool) {
 	if len(suspects) > 0 {
 		e.publish(e.quarantine.Crashed(time.Now(), suspects, isolated))
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.upstream != died || e.state != upstreamServing {
+	if e.upstream != failed || e.state != upstreamServing {
 		return
 	}
 	e.metrics.upstreamCrashes.Inc()
-	e.logger.Warn().Str("address", died.announcement.Address).Int("in_flight", len(suspects)).
+	e.logger.Warn().Str("address", failed.announcement.Address).Int("in_flight", len(suspects)).
 		Msg("upstream refuses connections; it gets no calls until it accepts them again")
 	e.state = upstreamDown
 	e.announceState(endpoints.Gone)
@@ -97,9 +97,9 @@
 
 // watch follows the upstream until the executor stops: it finds a crash while there are no calls, and the return of an
 // upstream that died.
-func (e *executor) watch() {
+func (e *executor) monitorUpstream() {
 	failures := 0
-	var accepting time.Time
+	var acceptingSince time.Time
 	for e.ctx.Err() == nil {
 		e.mu.Lock()
 		current, state := e.upstream, e.state
@@ -110,11 +110,11 @@
 				sleep(e.ctx, defaultHealthInterval)
 				continue
 			}
-			failures = e.watchServing(current, failures)
+			failures = e.checkServing(current, failures)
 			sleep(e.ctx, e.healthInterval)
 		case upstreamDown:
 			failures = 0
-			accepting = e.watchDown(current, accepting)
+			acceptingSince = e.checkDown(current, acceptingSince)
 			sleep(e.ctx, probeInterval)
 		default:
 			failures = 0
@@ -123,15 +123,15 @@
 	}
 }
 
-func (e *executor) watchServing(current *upstream, failures int) int {
-	if current.accepts(e.ctx) {
+func (e *executor) checkServing(current *upstream, failures int) int {
+	if current.acceptsConnections(e.ctx) {
 		return 0
 	}
-	if failures++; failures >= watchFailures {
+	if failures++; failures >= probeFailureThreshold {
 		e.mu.Lock()
-		suspects, isolated := e.inFlight()
+		suspects, isolated := e.suspects()
 		e.mu.Unlock()
-		e.upstreamDied(current, suspects, isolated)
+		e.markUpstreamDown(current, suspects, isolated)
 		return 0
 	}
 	return failures
@@ -139,15 +139,15 @@
 
 // watchDown puts an upstream back into service that accepts connections and reports itself healthy, or has accepted
 // connections for healthPatience. It returns since when connections are accepted.
-func (e *executor) watchDown(current *upstream, accepting time.Time) time.Time {
-	if !current.accepts(e.ctx) {
+func (e *executor) checkDown(current *upstream, acceptingSince time.Time) time.Time {
+	if !current.acceptsConnections(e.ctx) {
 		return time.Time{}
 	}
-	if accepting.IsZero() {
-		accepting = time.Now()
+	if acceptingSince.IsZero() {
+		acceptingSince = time.Now()
 	}
-	if !current.healthy(e.ctx) && time.Since(accepting) < healthPatience {
-		return accepting
+	if !current.healthy(e.ctx) && time.Since(acceptingSince) < maxUnhealthyTime {
+		return acceptingSince
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/node/executor.go
+++ b/node/executor.go
@@ -34,7 +34,7 @@
 	dialect        *protocol.Dialect
 	healthInterval time.Duration
 	// background holds what outlives its caller: recording answers and probing.
-	background background
+	background taskGroup
 	ctx        context.Context
 	stop       context.CancelFunc
 
@@ -42,33 +42,33 @@
 	upstream *upstream
 	state    upstreamState
 	queue    *admission.Queue
-	waiting  map[uint64]chan admission.Verdict
-	running  map[uint64]*runningCall
+	waiters  map[uint64]chan admission.Verdict
+	active   map[uint64]*activeCall
 	nextID   uint64
 	// claiming counts the irreversible calls between claim and slot.
-	claiming int
-	expiry   *time.Timer
+	pendingClaims int
+	expiryTimer   *time.Timer
 	// crashCheck is open while a broken connection is being explained.
-	crashCheck *crashCheck
-	lineage    lineage
+	crashCheck    *crashCheck
+	lastHeartbeat heartbeatPosition
 	// settingsService is what runs beside the node until an upstream announces itself.
-	settingsService string
+	configuredService string
 	// departed is set once the upstream said that it is about to end; leaving once this process is.
-	departed, leaving bool
+	deregistered, stopping bool
 	// drained is the time at which the upstream began to leave.
-	drained time.Time
+	drainStarted time.Time
 }
 
 // runningCall is a call that holds a slot.
-type runningCall struct {
+type activeCall struct {
 	fingerprint quarantine.Fingerprint
-	alone       bool
+	exclusive   bool
 	started     time.Time
 }
 
 // place is a call's slot.
-type place struct {
-	id       uint64
+type grantedSlot struct {
+	callID   uint64
 	upstream *upstream
 }
 
@@ -77,61 +77,61 @@
 const drainTolerance = 3 * time.Second
 
 // admit waits for a slot. On refusal the reason is set and the call was not run.
-func (e *executor) admit(ctx context.Context, head *protocol.CallMetadata, deadline time.Time) (*place, protocol.Reason) {
+func (e *executor) admit(ctx context.Context, meta *protocol.CallMetadata, deadline time.Time) (*grantedSlot, protocol.Reason) {
 	now := time.Now()
-	fingerprint := quarantine.Fingerprint(head.Fingerprint)
-	verdict := e.quarantine.Verdict(now, fingerprint)
-	if verdict == quarantine.Refused {
+	fingerprint := quarantine.Fingerprint(meta.Fingerprint)
+	quarantined := e.quarantine.Verdict(now, fingerprint)
+	if quarantined == quarantine.Refused {
 		return nil, protocol.ReasonQuarantined
 	}
 	e.mu.Lock()
-	if reason := e.unavailable(head); reason != protocol.ReasonNone {
+	if reason := e.unavailableReason(meta); reason != protocol.ReasonNone {
 		e.mu.Unlock()
 		return nil, reason
 	}
 	e.nextID++
 	id := e.nextID
-	call := &runningCall{fingerprint: fingerprint, alone: head.Exclusive || verdict == quarantine.Exclusive}
+	call := &activeCall{fingerprint: fingerprint, exclusive: meta.Exclusive || quarantined == quarantine.Exclusive}
 	ticket := admission.Ticket{
-		ID: id, Class: head.Class, Priority: head.Priority, Route: head.Route, Deadline: deadline, Exclusive: call.alone,
+		ID: id, Class: meta.Class, Priority: meta.Priority, Route: meta.Route, Deadline: deadline, Exclusive: call.exclusive,
 	}
-	if head.TargetRemaining > 0 {
-		ticket.TargetTime = now.Add(head.TargetRemaining)
+	if meta.TargetRemaining > 0 {
+		ticket.TargetTime = now.Add(meta.TargetRemaining)
 	}
-	admitted := e.queue.Offer(now, ticket)
-	e.running[id] = call
+	verdict := e.queue.Offer(now, ticket)
+	e.active[id] = call
 	var waiter chan admission.Verdict
-	if admitted.Action == admission.Wait {
+	if verdict.Action == admission.Wait {
 		waiter = make(chan admission.Verdict, 1)
-		e.waiting[id] = waiter
+		e.waiters[id] = waiter
 	}
-	e.decide(e.queue.Expire(now))
-	chosen := e.upstream
+	e.applyDecisions(e.queue.Expire(now))
+	target := e.upstream
 	e.mu.Unlock()
 	if waiter != nil {
-		admitted = e.await(ctx, id, waiter)
+		verdict = e.awaitVerdict(ctx, id, waiter)
 	}
-	if admitted.Action == admission.Run {
+	if verdict.Action == admission.Run {
 		e.metrics.waitTime.Observe(time.Since(now).Seconds())
 	}
-	return e.conclude(ctx, id, chosen, admitted)
+	return e.finishAdmission(ctx, id, target, verdict)
 }
 
 // unavailable returns why the upstream takes no calls. The lock is held.
-func (e *executor) unavailable(head *protocol.CallMetadata) protocol.Reason {
+func (e *executor) unavailableReason(meta *protocol.CallMetadata) protocol.Reason {
 	switch {
 	case e.state == upstreamDraining:
 		return protocol.ReasonDraining
-	case e.state != upstreamServing, e.upstream.announcement.Service != head.Service:
+	case e.state != upstreamServing, e.upstream.announcement.Service != meta.Service:
 		return protocol.ReasonNoUpstream
-	case head.Incarnation != 0 && head.Incarnation != e.incarnation:
+	case meta.Incarnation != 0 && meta.Incarnation != e.incarnation:
 		return protocol.ReasonNoUpstream
 	}
 	return protocol.ReasonNone
 }
 
 // await blocks until the queue decides or the caller leaves.
-func (e *executor) await(ctx context.Context, id uint64, waiter chan admission.Verdict) admission.Verdict {
+func (e *executor) awaitVerdict(ctx context.Context, id uint64, waiter chan admission.Verdict) admission.Verdict {
 	select {
 	case verdict := <-waiter:
 		return verdict
@@ -144,30 +144,30 @@
 		return verdict
 	default:
 	}
-	delete(e.waiting, id)
-	delete(e.running, id)
-	e.decide(e.queue.Cancel(time.Now(), id))
+	delete(e.waiters, id)
+	delete(e.active, id)
+	e.applyDecisions(e.queue.Cancel(time.Now(), id))
 	return admission.Verdict{Action: admission.Shed, Reason: admission.ReasonDeadline}
 }
 
-func (e *executor) conclude(
-	ctx context.Context, id uint64, chosen *upstream, verdict admission.Verdict,
-) (*place, protocol.Reason) {
+func (e *executor) finishAdmission(
+	ctx context.Context, id uint64, target *upstream, verdict admission.Verdict,
+) (*grantedSlot, protocol.Reason) {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if verdict.Action != admission.Run {
-		delete(e.running, id)
+		delete(e.active, id)
 		return nil, shedReason(ctx, verdict.Reason)
 	}
 	if e.state == upstreamDraining {
-		invariant.Check(now.Sub(e.drained) <= drainTolerance, invariant.LateDrainWork,
-			"a call starts on an upstream that is leaving", map[string]any{"since_ms": now.Sub(e.drained).Milliseconds()})
+		invariant.Check(now.Sub(e.drainStarted) <= drainTolerance, invariant.LateDrainWork,
+			"a call starts on an upstream that is leaving", map[string]any{"since_ms": now.Sub(e.drainStarted).Milliseconds()})
 	}
-	if call := e.running[id]; call != nil {
+	if call := e.active[id]; call != nil {
 		call.started = now
 	}
-	return &place{id: id, upstream: chosen}, protocol.ReasonNone
+	return &grantedSlot{callID: id, upstream: target}, protocol.ReasonNone
 }
 
 func shedReason(ctx context.Context, reason admission.Reason) protocol.Reason {
@@ -184,29 +184,29 @@
 }
 
 // release gives a slot back. service is the time that the upstream spent on the call; 0 if it did not run.
-func (e *executor) release(p *place, service time.Duration) {
+func (e *executor) releaseSlot(slot *grantedSlot, serviceTime time.Duration) {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, ok := e.running[p.id]; !ok {
+	if _, ok := e.active[slot.callID]; !ok {
 		return
 	}
-	delete(e.running, p.id)
-	if service > 0 {
-		e.decide(e.queue.Finish(now, p.id, service))
+	delete(e.active, slot.callID)
+	if serviceTime > 0 {
+		e.applyDecisions(e.queue.Finish(now, slot.callID, serviceTime))
 	} else {
-		e.decide(e.queue.Cancel(now, p.id))
+		e.applyDecisions(e.queue.Cancel(now, slot.callID))
 	}
 }
 
 // decide hands out the queue's decisions and arms the timer for the next one. The lock is held.
-func (e *executor) decide(decisions []admission.Decision) {
+func (e *executor) applyDecisions(decisions []admission.Decision) {
 	for _, decision := range decisions {
-		waiter := e.waiting[decision.ID]
+		waiter := e.waiters[decision.ID]
 		if waiter == nil {
 			continue
 		}
-		delete(e.waiting, decision.ID)
+		delete(e.waiters, decision.ID)
 		waiter <- decision.Verdict
 	}
 	next, ok := e.queue.NextExpiry()
@@ -214,17 +214,17 @@
 		return
 	}
 	delay := max(time.Until(next), 0)
-	if e.expiry == nil {
-		e.expiry = time.AfterFunc(delay, e.expire)
+	if e.expiryTimer == nil {
+		e.expiryTimer = time.AfterFunc(delay, e.expireQueue)
 		return
 	}
-	e.expiry.Reset(delay)
+	e.expiryTimer.Reset(delay)
 }
 
-func (e *executor) expire() {
+func (e *executor) expireQueue() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.decide(e.queue.Expire(time.Now()))
+	e.applyDecisions(e.queue.Expire(time.Now()))
 }
 
 // load returns the first-hand load for the ingress.
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -26,8 +26,8 @@
 	return record, ok && record.Service != ""
 }
 
-// Learn merges a record into the endpoint table, as one from the distribution tree, and hands it to the balancer.
-func (n *Node) Learn(record endpoints.Record) error {
+// MergeEndpoint merges a record into the endpoint table, as one from the distribution tree, and hands it to the balancer.
+func (n *Node) MergeEndpoint(record endpoints.Record) error {
 	return n.control.Query(context.Background(), func(now time.Time) {
 		n.peer.Table().Merge([]endpoints.Record{record})
 		n.changedIDs[record.ID] = true
@@ -39,10 +39,10 @@
 func (n *Node) InFlight() int {
 	n.executor.mu.Lock()
 	defer n.executor.mu.Unlock()
-	return len(n.executor.running)
+	return len(n.executor.active)
 }
 
-// HoldRecord stands for the record of an answer that the ledger does not take: it lasts until the node ends.
-func (n *Node) HoldRecord() {
+// BlockRecording stands for the record of an answer that the ledger does not take: it lasts until the node ends.
+func (n *Node) BlockRecording() {
 	n.executor.background.start(func() { <-n.executor.ctx.Done() })
 }
--- a/node/forwarding.go
+++ b/node/forwarding.go
@@ -18,12 +18,12 @@
 const hedgeMargin = 40 * time.Millisecond
 
 // forwarding carries out the plan of one call: one attempt, or a second one beside it, until one answers.
-type forwarding struct {
+type forwarder struct {
 	call    *ingressCall
 	results chan attemptResult
-	source  rand.Source
+	random  rand.Source
 	// reached tells that an executor has the call: a second attempt would only add load.
-	reached atomic.Bool
+	acknowledged atomic.Bool
 
 	// mu guards the fields below against the hedge timer until the first attempt has ended; then the calling goroutine
 	// owns them.
@@ -35,31 +35,31 @@
 	cancels []context.CancelFunc
 	pending int
 	// failed is an upstream's answer that it failed, which the caller gets if nothing better comes.
-	failed *attemptResult
+	failedResult *attemptResult
 	// last is why the latest attempt gave no answer.
-	last protocol.Reason
+	lastReason protocol.Reason
 	// load is what the executor of that attempt reported.
-	load protocol.LoadReport
+	lastLoad protocol.LoadReport
 }
 
-func (f *forwarding) run(ctx context.Context) *reply {
-	first, ok := f.begin(ctx)
+func (f *forwarder) run(ctx context.Context) *callReply {
+	first, ok := f.startAttempt(ctx)
 	if !ok {
-		return refusal(protocol.ReasonNoUpstream)
+		return notRunReply(protocol.ReasonNoUpstream)
 	}
 	f.results <- f.runFirst(ctx, first)
 	for {
 		select {
 		case result := <-f.results:
 			f.pending--
-			switch f.handle(ctx, result) {
+			switch f.handleResult(ctx, result) {
 			case forward.Answer:
-				return f.answer(result)
+				return f.complete(result)
 			case forward.Fail:
 				return f.fail()
 			}
 		case <-ctx.Done():
-			f.last = protocol.ReasonDeadline
+			f.lastReason = protocol.ReasonDeadline
 			return f.fail()
 		}
 	}
@@ -67,13 +67,13 @@
 
 // runFirst runs the first attempt on the calling goroutine, which saves two switches between goroutines on most calls. A
 // hedge may start beside it.
-func (f *forwarding) runFirst(ctx context.Context, first *attempt) attemptResult {
+func (f *forwarder) runFirst(ctx context.Context, first *attempt) attemptResult {
 	if f.call.node.options.NoHedging || !f.plan.MayHedge(time.Now()) {
 		return first.run()
 	}
-	f.call.head.Progress = true
-	wait := progressDelay + 2*f.call.node.options.zoneDelay(first.target.Zone) + hedgeMargin
-	timer := time.AfterFunc(wait, func() { f.hedge(ctx) })
+	f.call.metadata.Progress = true
+	hedgeDelay := progressDelay + 2*f.call.node.options.zoneDelay(first.target.Zone) + hedgeMargin
+	timer := time.AfterFunc(hedgeDelay, func() { f.hedge(ctx) })
 	result := first.run()
 	timer.Stop()
 	f.mu.Lock()
@@ -83,14 +83,14 @@
 }
 
 // hedge starts a second attempt unless an executor has shown that it has the call. An answer to it ends the first.
-func (f *forwarding) hedge(ctx context.Context) {
+func (f *forwarder) hedge(ctx context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.firstEnded || f.reached.Load() || !f.plan.Hedge(time.Now()) {
+	if f.firstEnded || f.acknowledged.Load() || !f.plan.Hedge(time.Now()) {
 		return
 	}
 	f.call.node.metrics.hedges.Inc()
-	second, ok := f.begin(ctx)
+	second, ok := f.startAttempt(ctx)
 	if !ok {
 		return
 	}
@@ -98,7 +98,7 @@
 	go func() {
 		result := second.run()
 		f.results <- result
-		if result.answer.head.Outcome == protocol.OutcomeDone {
+		if result.reply.metadata.Outcome == protocol.OutcomeDone {
 			cancelFirst()
 		}
 	}()
@@ -106,28 +106,28 @@
 
 // attempt is one try on one upstream.
 type attempt struct {
-	forwarding *forwarding
-	ctx        context.Context
-	number     int
-	target     balance.Target
+	forwarder *forwarder
+	ctx       context.Context
+	index     int
+	target    balance.Target
 }
 
 // begin chooses an upstream that was not tried yet, if there is one.
-func (f *forwarding) begin(ctx context.Context) (*attempt, bool) {
+func (f *forwarder) startAttempt(ctx context.Context) (*attempt, bool) {
 	c := f.call
 	target, err := c.node.balancer.Pick(time.Now(), balance.Request{
-		Service: c.head.Service, Route: c.route.Name, Zone: c.route.Zone, Exclude: f.tried, Rand: f.source, TargetRemaining: c.patience(),
-		MeetTargetOnly: f.last == protocol.ReasonShed,
+		Service: c.metadata.Service, Route: c.route.Name, Zone: c.route.Zone, Exclude: f.tried, Rand: f.random, TargetRemaining: c.timeUntilTarget(),
+		MeetTargetOnly: f.lastReason == protocol.ReasonShed,
 	})
 	if err != nil {
-		f.last = cmp.Or(f.last, protocol.ReasonNoUpstream)
+		f.lastReason = cmp.Or(f.lastReason, protocol.ReasonNoUpstream)
 		return nil, false
 	}
 	f.tried = append(f.tried, target.ID)
 	c.tried = f.tried
 	f.plan.Sent()
 	f.pending++
-	started := &attempt{forwarding: f, number: len(f.cancels), target: target}
+	started := &attempt{forwarder: f, index: len(f.cancels), target: target}
 	var cancel context.CancelFunc
 	started.ctx, cancel = context.WithCancel(ctx)
 	f.cancels = append(f.cancels, cancel)
@@ -135,40 +135,40 @@
 }
 
 func (a *attempt) run() attemptResult {
-	reached := func() { a.forwarding.reached.Store(true) }
-	result := a.forwarding.call.attempt(a.ctx, a.target, a.number > 0, reached)
-	result.number = a.number
+	onAcknowledged := func() { a.forwarder.acknowledged.Store(true) }
+	result := a.forwarder.call.attempt(a.ctx, a.target, a.index > 0, onAcknowledged)
+	result.index = a.index
 	return result
 }
 
 // handle takes the end of an attempt and starts the next one where the plan says so.
-func (f *forwarding) handle(ctx context.Context, result attemptResult) forward.Action {
-	head := &result.answer.head
+func (f *forwarder) handleResult(ctx context.Context, result attemptResult) forward.Action {
+	meta := &result.reply.metadata
 	decision := f.plan.Ended(time.Now(), forward.Result{
-		Outcome: outcomes[head.Outcome], Final: final(head.Reason), Suspect: head.Suspect,
-		Reached: head.Reason == protocol.ReasonUpstreamRefused,
-		Failed:  result.answer.failedByUpstream() && result.answer.stream == nil,
-	}, f.source)
+		Outcome: retryOutcomes[meta.Outcome], Final: isFinal(meta.Reason), Suspect: meta.Suspect,
+		Reached: meta.Reason == protocol.ReasonUpstreamRefused,
+		Failed:  result.reply.failedByUpstream() && result.reply.stream == nil,
+	}, f.random)
 	if decision.Action == forward.Answer {
 		return forward.Answer
 	}
-	if head.Outcome == protocol.OutcomeDone {
-		f.failed = &result
+	if meta.Outcome == protocol.OutcomeDone {
+		f.failedResult = &result
 	} else {
-		f.last, f.load = head.Reason, head.Load
+		f.lastReason, f.lastLoad = meta.Reason, meta.Load
 	}
-	result.answer.finish()
-	f.cancels[result.number]()
+	result.reply.finish()
+	f.cancels[result.index]()
 	if decision.Action != forward.Send {
 		return decision.Action
 	}
-	f.call.node.requestLog.repeated(f.call, result.answer, f.tried[result.number], decision.After)
+	f.call.node.requestLog.attemptFailed(f.call, result.reply, f.tried[result.index], decision.After)
 	sleep(ctx, decision.After)
 	if ctx.Err() != nil {
 		return forward.Wait
 	}
 	f.call.node.metrics.retries.Inc()
-	next, ok := f.begin(ctx)
+	next, ok := f.startAttempt(ctx)
 	if !ok {
 		return forward.Fail
 	}
@@ -177,7 +177,7 @@
 }
 
 // final reports whether no other upstream can do better.
-func final(reason protocol.Reason) bool {
+func isFinal(reason protocol.Reason) bool {
 	switch reason {
 	case protocol.ReasonQuarantined, protocol.ReasonKeyReused, protocol.ReasonKeyExpired, protocol.ReasonCallerGone,
 		protocol.ReasonTooLarge, protocol.ReasonInProgress, protocol.ReasonLedger:
@@ -187,60 +187,60 @@
 	}
 }
 
-var outcomes = map[protocol.Outcome]retry.Outcome{
+var retryOutcomes = map[protocol.Outcome]retry.Outcome{
 	protocol.OutcomeDone:    retry.Done,
 	protocol.OutcomeNotRun:  retry.NotRun,
 	protocol.OutcomeUnknown: retry.Unknown,
 }
 
 // answer passes on the answer of one attempt and gives up the others.
-func (f *forwarding) answer(result attemptResult) *reply {
-	f.call.elsewhere = result.elsewhere
-	own := f.cancels[result.number]
-	previous := result.answer.done
-	result.answer.done = func() {
-		own()
+func (f *forwarder) complete(result attemptResult) *callReply {
+	f.call.externalTime = result.externalTime
+	cancelOwn := f.cancels[result.index]
+	previous := result.reply.onFinish
+	result.reply.onFinish = func() {
+		cancelOwn()
 		if previous != nil {
 			previous()
 		}
 	}
-	f.abandon(result.number)
-	return result.answer
+	f.cancelAttempts(result.index)
+	return result.reply
 }
 
 // fail ends a call without an answer.
-func (f *forwarding) fail() *reply {
-	f.abandon(noAttempt)
-	if f.failed != nil {
-		return f.failed.answer
+func (f *forwarder) fail() *callReply {
+	f.cancelAttempts(noAttempt)
+	if f.failedResult != nil {
+		return f.failedResult.reply
 	}
 	if f.plan.Verdict() == retry.NotRun {
-		refused := refusal(f.last)
-		refused.head.Load = f.load
+		refused := notRunReply(f.lastReason)
+		refused.metadata.Load = f.lastLoad
 		return refused
 	}
-	return uncertain(f.last)
+	return unknownReply(f.lastReason)
 }
 
 // noAttempt stands for no attempt at all.
 const noAttempt = -1
 
 // abandon cancels all attempts but one.
-func (f *forwarding) abandon(kept int) {
-	for number, cancel := range f.cancels {
-		if number != kept {
+func (f *forwarder) cancelAttempts(except int) {
+	for index, cancel := range f.cancels {
+		if index != except {
 			cancel()
 		}
 	}
 	if f.pending > 0 {
-		go f.drain(f.pending)
+		go f.discardResults(f.pending)
 	}
 }
 
 // drain ends abandoned attempts when they come back.
-func (f *forwarding) drain(left int) {
-	for range left {
+func (f *forwarder) discardResults(count int) {
+	for range count {
 		result := <-f.results
-		result.answer.finish()
+		result.reply.finish()
 	}
 }
--- a/node/relay_test.go
+++ b/node/forwarding_test.go
@@ -18,7 +18,7 @@
 )
 
 // cut sends part of an answer of the announced length and closes the connection.
-func cut(w http.ResponseWriter, sent, announced int) {
+func sendTruncated(w http.ResponseWriter, sent, announced int) {
 	w.Header().Set("Content-Length", strconv.Itoa(announced))
 	_, _ = w.Write(make([]byte, sent))
 	_ = http.NewResponseController(w).Flush()
@@ -34,9 +34,9 @@
 				f := newFixture(remote, newFakeLedger().server.Address(), 4, func(w http.ResponseWriter, r *http.Request) {
 					switch r.URL.Path {
 					case "/lookup/short":
-						cut(w, 10, 1000)
+						sendTruncated(w, 10, 1000)
 					case "/lookup/long":
-						cut(w, 200_000, 400_000)
+						sendTruncated(w, 200_000, 400_000)
 					default:
 						// Without an announced length, only the missing last chunk tells that the answer was cut.
 						_, _ = w.Write(make([]byte, 200_000))
@@ -50,7 +50,7 @@
 				Expect(short.outcome()).To(Equal("unknown"))
 				Expect(f.post("/lookup/long", "").err).To(HaveOccurred())
 				Expect(f.post("/lookup/chunked", "").err).To(HaveOccurred())
-				Eventually(f.executor.InFlight, patience).Should(BeZero())
+				Eventually(f.executor.InFlight, eventuallyTimeout).Should(BeZero())
 			})
 
 			// Guards against lost or reordered parts of streamed bodies, and lost trailers.
@@ -67,10 +67,10 @@
 							_, _ = w.Write(want)
 							w.Header().Set("X-Sum", "answer")
 						})
-					answer := f.send(context.Background(), "/lookup", newChunked(requestSize))
+					answer := f.send(context.Background(), "/lookup", newChunkedBody(requestSize))
 					Expect(answer.err).NotTo(HaveOccurred())
 					Expect(answer.status).To(Equal(http.StatusOK), "%s", answer.body)
-					sent, _ := io.ReadAll(newChunked(requestSize))
+					sent, _ := io.ReadAll(newChunkedBody(requestSize))
 					Expect(bytes.Equal(got, sent)).To(BeTrue())
 					Expect(bytes.Equal(answer.body, want)).To(BeTrue())
 					Expect(trailer).To(Equal("request"))
@@ -90,11 +90,11 @@
 					}
 				})
 				Expect(f.post("/small", strings.Repeat("x", 1001)).status).To(Equal(http.StatusRequestEntityTooLarge))
-				Expect(f.send(context.Background(), "/small", newChunked(1008)).status).
+				Expect(f.send(context.Background(), "/small", newChunkedBody(1008)).status).
 					To(Equal(http.StatusRequestEntityTooLarge))
-				Expect(f.send(context.Background(), "/promote", newChunked(1008), key, "k1").status).
+				Expect(f.send(context.Background(), "/promote", newChunkedBody(1008), keyHeader, "k1").status).
 					To(Equal(http.StatusRequestEntityTooLarge))
-				Expect(f.send(context.Background(), "/stream", newChunked(160_000)).status).
+				Expect(f.send(context.Background(), "/stream", newChunkedBody(160_000)).status).
 					To(Equal(http.StatusRequestEntityTooLarge))
 				Expect(runs.Load()).To(BeZero())
 			})
@@ -137,35 +137,35 @@
 						ended <- struct{}{}
 					}
 				})
-				ctx, leave := context.WithCancel(context.Background())
+				ctx, disconnect := context.WithCancel(context.Background())
 				done := f.async(ctx, "/lookup/slow", "")
-				Eventually(started, patience).Should(Receive())
-				leave()
+				Eventually(started, eventuallyTimeout).Should(Receive())
+				disconnect()
 				Expect((<-done).err).To(HaveOccurred())
-				Eventually(ended, patience).Should(Receive())
-				Eventually(f.executor.InFlight, patience).Should(BeZero())
+				Eventually(ended, eventuallyTimeout).Should(Receive())
+				Eventually(f.executor.InFlight, eventuallyTimeout).Should(BeZero())
 				Expect(f.post("/lookup", "").status).To(Equal(http.StatusOK))
 			})
 
 			// Guards against calls that are cut by a planned stop, and against calls that start during it.
 			It("finishes calls in flight before a stop and starts no new one", func() {
-				upstream := newGated()
+				upstream := newBlockingUpstream()
 				f := newFixture(remote, newFakeLedger().server.Address(), 4, upstream.ServeHTTP)
 				lookup := f.async(context.Background(), "/lookup", "")
-				promote := f.async(context.Background(), "/promote", "dan 3", key, "k1")
-				Eventually(upstream.runs.Load, patience).Should(BeEquivalentTo(2))
+				promote := f.async(context.Background(), "/promote", "dan 3", keyHeader, "k1")
+				Eventually(upstream.runs.Load, eventuallyTimeout).Should(BeEquivalentTo(2))
 				stopped := make(chan error, 1)
 				go func() { stopped <- f.executor.Stop(context.Background()) }()
-				Eventually(func() string { return f.post("/lookup", "").outcome() }, patience).Should(Equal("not-run"))
+				Eventually(func() string { return f.post("/lookup", "").outcome() }, eventuallyTimeout).Should(Equal("not-run"))
 				Expect(upstream.runs.Load()).To(BeEquivalentTo(2))
 				Expect(stopped).NotTo(Receive())
-				upstream.open()
-				for _, call := range []<-chan answer{lookup, promote} {
+				upstream.unblock()
+				for _, call := range []<-chan callResult{lookup, promote} {
 					got := <-call
 					Expect(got.err).NotTo(HaveOccurred())
 					Expect(got.status).To(Equal(http.StatusCreated))
 				}
-				Eventually(stopped, patience).Should(Receive(BeNil()))
+				Eventually(stopped, eventuallyTimeout).Should(Receive(BeNil()))
 				Expect(upstream.runs.Load()).To(BeEquivalentTo(2))
 			})
 		})
@@ -174,23 +174,23 @@
 	// Guards against a stop that waits for the ledger first, runs out of time and cuts off requests: mixed-faults
 	// (kartuli, seed 12) counted cut_in_flight when the ledger was out of reach during a stop.
 	It("finishes requests in flight before it waits for records", func() {
-		upstream := newGated()
+		upstream := newBlockingUpstream()
 		f := newFixture(true, newFakeLedger().server.Address(), 4, upstream.ServeHTTP)
-		f.ingress.HoldRecord()
+		f.ingress.BlockRecording()
 		lookup := f.async(context.Background(), "/lookup", "")
-		Eventually(upstream.runs.Load, patience).Should(BeEquivalentTo(1))
+		Eventually(upstream.runs.Load, eventuallyTimeout).Should(BeEquivalentTo(1))
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		stopped := make(chan error, 1)
 		go func() { stopped <- f.ingress.Stop(ctx) }()
-		Eventually(func() string { return f.post("/nowhere", "").header.Get(protocol.HeaderReason) }, patience).
+		Eventually(func() string { return f.post("/nowhere", "").header.Get(protocol.HeaderReason) }, eventuallyTimeout).
 			Should(BeEquivalentTo(protocol.ReasonDraining))
-		upstream.open()
+		upstream.unblock()
 		got := <-lookup
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.status).To(Equal(http.StatusCreated))
 		cancel()
-		Eventually(stopped, patience).Should(Receive(HaveOccurred()), "the held record must be reported")
+		Eventually(stopped, eventuallyTimeout).Should(Receive(HaveOccurred()), "the held record must be reported")
 	})
 
 	// Guards against a malformed announcement that takes a working upstream out of service.
--- a/node/harness_test.go
+++ b/node/harness_test.go
@@ -26,7 +26,7 @@
 	"sapphiregate.example/sapphiregate/transport/rpc"
 )
 
-const patience = 20 * time.Second
+const eventuallyTimeout = 20 * time.Second
 
 func TestNode(t *testing.T) {
 	RegisterFailHandler(Fail)
@@ -58,7 +58,7 @@
 	mu     sync.Mutex
 	state  *ledger.Ledger
 	// lost is the number of replies to claims that are lost after the claim was applied.
-	lost int
+	lostClaimReplies int
 }
 
 func newFakeLedger() *fakeLedger {
@@ -82,8 +82,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	result, err := protocol.Marshal(f.state.Apply(command))
-	if err == nil && command.Claim != nil && f.lost > 0 {
-		f.lost--
+	if err == nil && command.Claim != nil && f.lostClaimReplies > 0 {
+		f.lostClaimReplies--
 		err = errors.New("the reply is lost")
 	}
 	return &protocol.ProposeReply{Status: protocol.ProposeApplied, Result: result, LedgerGroups: 1}, err
@@ -135,15 +135,15 @@
 }
 
 func startNode(id, member string) (started *node.Node, callers, admin string) {
-	callersAt, adminAt := listen(), listen()
+	callersListener, adminListener := listen(), listen()
 	started = node.New(node.Options{
-		ID: id, Zone: "a", Callers: callersAt, Mesh: listen(), Admin: adminAt, Members: []string{member},
+		ID: id, Zone: "a", Callers: callersListener, Mesh: listen(), Admin: adminListener, Members: []string{member},
 		Keys: bundle.NewKeyring(nil), Logger: zerolog.Nop(),
 	})
 	started.Start()
 	DeferCleanup(started.Kill)
 	Expect(started.PutInForce(bundle.Approval{Version: 1}, testBundle())).To(Succeed())
-	return started, callersAt.Addr().String(), adminAt.Addr().String()
+	return started, callersListener.Addr().String(), adminListener.Addr().String()
 }
 
 func newFixture(remote bool, member string, slots int, handler http.HandlerFunc) *fixture {
@@ -160,66 +160,66 @@
 	}
 	address := strings.TrimPrefix(f.upstream.URL, "http://")
 	Expect(f.executor.AcceptUpstream(node.Announcement{Service: "desk", Address: address, Slots: slots})).To(Succeed())
-	Eventually(func() bool { _, ok := f.executor.OwnRecord(); return ok }, patience).Should(BeTrue())
+	Eventually(func() bool { _, ok := f.executor.OwnRecord(); return ok }, eventuallyTimeout).Should(BeTrue())
 	record, _ := f.executor.OwnRecord()
-	Expect(f.executor.Learn(record)).To(Succeed())
-	Expect(f.ingress.Learn(record)).To(Succeed())
+	Expect(f.executor.MergeEndpoint(record)).To(Succeed())
+	Expect(f.ingress.MergeEndpoint(record)).To(Succeed())
 	return f
 }
 
 // answer is a response with its whole body, or the error that ended it.
-type answer struct {
+type callResult struct {
 	status          int
 	header, trailer http.Header
 	body            []byte
 	err             error
 }
 
-func (a answer) outcome() string { return a.header.Get(protocol.HeaderOutcome) }
+func (a callResult) outcome() string { return a.header.Get(protocol.HeaderOutcome) }
 
-func (f *fixture) send(ctx context.Context, path string, body io.Reader, header ...string) answer {
+func (f *fixture) send(ctx context.Context, path string, body io.Reader, header ...string) callResult {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.callers+path, body)
 	if err != nil {
-		return answer{err: err}
+		return callResult{err: err}
 	}
 	for i := 0; i+1 < len(header); i += 2 {
 		request.Header.Set(header[i], header[i+1])
 	}
-	if named, ok := body.(interface{ trailers() http.Header }); ok {
-		request.Trailer = named.trailers()
+	if withTrailer, ok := body.(interface{ declaredTrailer() http.Header }); ok {
+		request.Trailer = withTrailer.declaredTrailer()
 	}
 	response, err := f.client.Do(request)
 	if err != nil {
-		return answer{err: err}
+		return callResult{err: err}
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
-	return answer{response.StatusCode, response.Header, response.Trailer, data, err}
+	return callResult{response.StatusCode, response.Header, response.Trailer, data, err}
 }
 
-func (f *fixture) post(path, body string, header ...string) answer {
+func (f *fixture) post(path, body string, header ...string) callResult {
 	return f.send(context.Background(), path, strings.NewReader(body), header...)
 }
 
-func (f *fixture) async(ctx context.Context, path, body string, header ...string) <-chan answer {
-	done := make(chan answer, 1)
+func (f *fixture) async(ctx context.Context, path, body string, header ...string) <-chan callResult {
+	done := make(chan callResult, 1)
 	go func() { done <- f.send(ctx, path, strings.NewReader(body), header...) }()
 	return done
 }
 
 // chunked is a body of unknown length with a trailer that is set at its end.
-type chunked struct {
+type chunkedBody struct {
 	io.Reader
 	trailer http.Header
 }
 
-func newChunked(size int) *chunked {
-	return &chunked{bytes.NewReader(bytes.Repeat([]byte("0123456789abcdef"), size/16)), http.Header{"X-Sum": nil}}
+func newChunkedBody(size int) *chunkedBody {
+	return &chunkedBody{bytes.NewReader(bytes.Repeat([]byte("0123456789abcdef"), size/16)), http.Header{"X-Sum": nil}}
 }
 
-func (c *chunked) trailers() http.Header { return c.trailer }
+func (c *chunkedBody) declaredTrailer() http.Header { return c.trailer }
 
-func (c *chunked) Read(data []byte) (int, error) {
+func (c *chunkedBody) Read(data []byte) (int, error) {
 	n, err := c.Reader.Read(data)
 	if err == io.EOF {
 		c.trailer.Set("X-Sum", "request")
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -12,23 +12,23 @@
 	Leaving bool
 }
 
-// ErrForeignUpstream reports a heartbeat for a service that the configuration does not know, or of an upstream that is
+// ErrUnknownService reports a heartbeat for a service that the configuration does not know, or of an upstream that is
 // not beside this node.
-var ErrForeignUpstream = errors.New("node: heartbeat of a foreign upstream")
+var ErrUnknownService = errors.New("node: heartbeat of a foreign upstream")
 
 // lineage orders what is known of the upstreams that were beside this node.
-type lineage struct {
+type heartbeatPosition struct {
 	id          string
 	incarnation int64
 	sequence    uint64
 }
 
 // outdated reports whether a heartbeat was sent before the last one that was accepted.
-func (l lineage) outdated(h Heartbeat) bool {
-	if h.Announcement.Incarnation != l.incarnation {
-		return h.Announcement.Incarnation < l.incarnation
+func (p heartbeatPosition) supersedes(h Heartbeat) bool {
+	if h.Announcement.Incarnation != p.incarnation {
+		return h.Announcement.Incarnation < p.incarnation
 	}
-	return h.Announcement.ID == l.id && h.Sequence <= l.sequence
+	return h.Announcement.ID == p.id && h.Sequence <= p.sequence
 }
 
 // Heartbeat takes a heartbeat of the upstream beside this node. One that was overtaken changes nothing and is no error.
@@ -37,15 +37,15 @@
 		return err
 	}
 	if !n.knowsService(h.Announcement.Service) {
-		return errors.Wrapf(ErrForeignUpstream, "service %q", h.Announcement.Service)
+		return errors.Wrapf(ErrUnknownService, "service %q", h.Announcement.Service)
 	}
 	return n.executor.heartbeat(h)
 }
 
-// Depart takes the message of an upstream that it is about to end. It serves on for a while without new calls. An
+// DeregisterUpstream takes the message of an upstream that it is about to end. It serves on for a while without new calls. An
 // upstream that is not the present one has been replaced already.
-func (n *Node) Depart(id string) {
-	if n.executor.departing(id) {
+func (n *Node) DeregisterUpstream(id string) {
+	if n.executor.markDeregistered(id) {
 		n.executor.drain()
 	}
 }
@@ -66,18 +66,18 @@
 
 func (e *executor) heartbeat(h Heartbeat) error {
 	e.mu.Lock()
-	if e.lineage.outdated(h) {
+	if e.lastHeartbeat.supersedes(h) {
 		e.mu.Unlock()
 		return nil
 	}
 	same := e.upstream != nil && e.upstream.announcement.ID == h.Announcement.ID &&
 		e.upstream.announcement.Incarnation == h.Announcement.Incarnation
-	e.lineage = lineage{
+	e.lastHeartbeat = heartbeatPosition{
 		id: h.Announcement.ID, incarnation: h.Announcement.Incarnation, sequence: h.Sequence,
 	}
-	leaving := e.leaving || same && e.departed
+	leaving := e.stopping || same && e.deregistered
 	if !same {
-		e.departed = false
+		e.deregistered = false
 	}
 	e.mu.Unlock()
 	if leaving || h.Leaving && same {
@@ -88,17 +88,17 @@
 		// The upstream was not known before; it gets no calls.
 		return nil
 	}
-	return e.accept(h.Announcement)
+	return e.acceptAnnouncement(h.Announcement)
 }
 
 // departing notes that the present upstream is about to end.
-func (e *executor) departing(id string) bool {
+func (e *executor) markDeregistered(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.upstream == nil || e.upstream.announcement.ID != id {
 		return false
 	}
-	e.departed = true
+	e.deregistered = true
 	return true
 }
 
@@ -109,8 +109,8 @@
 	if e.upstream != nil {
 		return e.upstream.announcement.Service
 	}
-	return e.settingsService
+	return e.configuredService
 }
 
-// Serving reports whether the node is ready for callers: a version is in force and the node is not leaving.
-func (n *Node) Serving() bool { return n.snapshot.Load() != nil && !n.stopping.Load() }
+// Ready reports whether the node is ready for callers: a version is in force and the node is not leaving.
+func (n *Node) Ready() bool { return n.snapshot.Load() != nil && !n.stopping.Load() }
--- a/node/ingress.go
+++ b/node/ingress.go
@@ -28,7 +28,7 @@
 
 const (
 	// bufferedBytes is the largest body of a repeatable request that is held for a retry; longer ones are streamed.
-	bufferedBytes = 64 << 10
+	maxBufferedBytes = 64 << 10
 	// maxKeyBytes bounds the idempotency key, which the ledger keeps for days.
 	maxKeyBytes = 256
 	// maxAttemptsInFlight is the first attempt and one hedge.
@@ -42,29 +42,29 @@
 	snapshot *snapshot
 	route    *routing.Route
 	policy   *routePolicy
-	head     protocol.CallMetadata
+	metadata protocol.CallMetadata
 	body     requestBody
 	// bounded reads the streamed rest of the body; nil for a body that is buffered whole.
-	bounded  *boundedReader
-	deadline time.Time
-	alone    bool
+	limitedBody *maxBytesReader
+	deadline    time.Time
+	exclusive   bool
 	// tried lists the instances that the call was sent to, in order.
 	tried []string
 	// elsewhere is the time of the last attempt outside our processes: the upstream's time and the zone links' delay.
-	elsewhere time.Duration
+	externalTime time.Duration
 }
 
 // ServeHTTP takes callers' requests.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	started := time.Now()
-	if n.leaving.Load() {
+	if n.closeConnections.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if reason := n.gate.enter(); reason != protocol.ReasonNone {
+	if reason := n.requests.admit(); reason != protocol.ReasonNone {
 		n.refuse(w, r, reason)
 		return
 	}
-	defer n.gate.leave()
+	defer n.requests.done()
 	if r.URL.Path == PathOutcome {
 		n.serveOutcome(w, r)
 		return
@@ -76,11 +76,11 @@
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), call.deadline)
 	defer cancel()
-	answer := call.confirm(ctx, call.forward(ctx))
-	defer answer.finish()
-	n.metrics.ended(call.route.Class, answer.head.Outcome, time.Since(started))
-	n.requestLog.ended(call, answer)
-	call.write(w, answer)
+	reply := call.confirmNotRun(ctx, call.forward(ctx))
+	defer reply.finish()
+	n.metrics.observeRequest(call.route.Class, reply.metadata.Outcome, time.Since(started))
+	n.requestLog.requestEnded(call, reply)
+	call.writeReply(w, reply)
 }
 
 // prepare matches the request and reads what a retry needs.
@@ -101,16 +101,16 @@
 	if call.policy.limiter != nil && !call.policy.limiter.AllowN(started, 1) {
 		return nil, protocol.ReasonCallLimit
 	}
-	if reason := call.readHead(r); reason != protocol.ReasonNone {
+	if reason := call.buildMetadata(r); reason != protocol.ReasonNone {
 		return nil, reason
 	}
 	if reason := call.readBody(r); reason != protocol.ReasonNone {
 		return nil, reason
 	}
-	return call, call.identify()
+	return call, call.checkQuarantine()
 }
 
-func (c *ingressCall) readHead(r *http.Request) protocol.Reason {
+func (c *ingressCall) buildMetadata(r *http.Request) protocol.Reason {
 	dialect := &c.node.options.Dialect
 	depth, _ := strconv.Atoi(r.Header.Get(dialect.Depth))
 	if depth < 0 || depth >= protocol.MaxDepth {
@@ -137,7 +137,7 @@
 	if dialect.CallerService != "" {
 		header[http.CanonicalHeaderKey(dialect.CallerService)] = []string{c.node.executor.localService()}
 	}
-	c.head = protocol.CallMetadata{
+	c.metadata = protocol.CallMetadata{
 		Service: c.policy.split.Next(), Route: c.route.Name, Class: c.route.Class, Method: r.Method, URI: requestURI(r),
 		Host: r.Host, Header: protocol.Fields(header), Depth: depth, Retry: dialect.Retry != "" && r.Header.Get(dialect.Retry) != "",
 		ContentLength: r.ContentLength, Version: c.snapshot.version, Priority: c.route.Priority,
@@ -146,8 +146,8 @@
 	if c.route.Class != bundle.ClassIrreversible || c.route.Keyless {
 		return protocol.ReasonNone
 	}
-	c.head.Key = r.Header.Get(protocol.HeaderKey)
-	if c.head.Key == "" || len(c.head.Key) > maxKeyBytes {
+	c.metadata.Key = r.Header.Get(protocol.HeaderKey)
+	if c.metadata.Key == "" || len(c.metadata.Key) > maxKeyBytes {
 		return protocol.ReasonKeyMissing
 	}
 	return protocol.ReasonNone
@@ -170,44 +170,44 @@
 	if r.Body == nil || r.Body == http.NoBody {
 		return protocol.ReasonNone
 	}
-	held := min(limit, bufferedBytes)
+	bufferLimit := min(limit, maxBufferedBytes)
 	if c.route.Class == bundle.ClassIrreversible && !c.route.Keyless {
-		held = limit
+		bufferLimit = limit
 	}
 	var buffer bytes.Buffer
-	if _, err := buffer.ReadFrom(io.LimitReader(r.Body, held+1)); err != nil {
+	if _, err := buffer.ReadFrom(io.LimitReader(r.Body, bufferLimit+1)); err != nil {
 		return protocol.ReasonCallerGone
 	}
-	c.body.start = buffer.Bytes()
+	c.body.prefix = buffer.Bytes()
 	c.body.trailer = r.Trailer
-	if int64(buffer.Len()) <= held {
+	if int64(buffer.Len()) <= bufferLimit {
 		return protocol.ReasonNone
 	}
-	if held == limit {
+	if bufferLimit == limit {
 		return protocol.ReasonTooLarge
 	}
-	c.bounded = &boundedReader{reader: r.Body, left: limit - int64(buffer.Len())}
-	c.body.rest = c.bounded
+	c.limitedBody = &maxBytesReader{reader: r.Body, remaining: limit - int64(buffer.Len())}
+	c.body.rest = c.limitedBody
 	for name := range r.Trailer {
-		c.head.TrailerNames = append(c.head.TrailerNames, name)
+		c.metadata.TrailerNames = append(c.metadata.TrailerNames, name)
 	}
-	slices.Sort(c.head.TrailerNames)
+	slices.Sort(c.metadata.TrailerNames)
 	return protocol.ReasonNone
 }
 
 // boundedReader fails once a body of unknown length turns out to be longer than the route allows.
-type boundedReader struct {
-	reader io.Reader
-	left   int64
+type maxBytesReader struct {
+	reader    io.Reader
+	remaining int64
 	// exceeded tells the attempt, which runs on another goroutine, why the body broke off.
 	exceeded atomic.Bool
 }
 
 // Read implements io.Reader.
-func (b *boundedReader) Read(data []byte) (int, error) {
+func (b *maxBytesReader) Read(data []byte) (int, error) {
 	n, err := b.reader.Read(data)
-	b.left -= int64(n)
-	if b.left < 0 {
+	b.remaining -= int64(n)
+	if b.remaining < 0 {
 		b.exceeded.Store(true)
 		return 0, errors.Wrap(protocol.ErrTooLarge, "request body")
 	}
@@ -215,26 +215,26 @@
 }
 
 // identify computes the request's digest and fingerprint and looks it up in the quarantine.
-func (c *ingressCall) identify() protocol.Reason {
-	body := sha256.Sum256(c.body.start)
-	if c.head.Key != "" {
-		c.head.RequestDigest = requestDigest(&c.head, body)
+func (c *ingressCall) checkQuarantine() protocol.Reason {
+	body := sha256.Sum256(c.body.prefix)
+	if c.metadata.Key != "" {
+		c.metadata.RequestDigest = requestDigest(&c.metadata, body)
 	}
-	fingerprint := quarantine.FingerprintOf(c.route.Name, c.head.Method, c.head.URI, c.head.Key, body)
-	c.head.Fingerprint = fingerprint
+	fingerprint := quarantine.FingerprintOf(c.route.Name, c.metadata.Method, c.metadata.URI, c.metadata.Key, body)
+	c.metadata.Fingerprint = fingerprint
 	switch c.node.quarantine.Verdict(c.started, fingerprint) {
 	case quarantine.Refused:
 		return protocol.ReasonQuarantined
 	case quarantine.Exclusive:
-		c.alone = true
+		c.exclusive = true
 	}
 	return protocol.ReasonNone
 }
 
 // requestDigest covers what makes two requests under one key the same request.
-func requestDigest(head *protocol.CallMetadata, body [32]byte) [32]byte {
+func requestDigest(meta *protocol.CallMetadata, body [32]byte) [32]byte {
 	hash := sha256.New()
-	for _, field := range []string{head.Service, head.Method, head.URI} {
+	for _, field := range []string{meta.Service, meta.Method, meta.URI} {
 		var length [8]byte
 		binary.LittleEndian.PutUint64(length[:], uint64(len(field)))
 		hash.Write(length[:])
@@ -246,52 +246,52 @@
 
 // attemptResult is the end of one attempt.
 type attemptResult struct {
-	number int
-	answer *reply
+	index int
+	reply *callReply
 	// elsewhere is the time that the attempt spent outside our processes.
-	elsewhere time.Duration
+	externalTime time.Duration
 }
 
 // forward tries upstreams until one answers or another attempt is not allowed.
-func (c *ingressCall) forward(ctx context.Context) *reply {
-	if !c.head.Retry {
+func (c *ingressCall) forward(ctx context.Context) *callReply {
+	if !c.metadata.Retry {
 		c.policy.budget.Call(c.started)
 	}
 	plan := forward.New(forward.Config{
-		Class: c.route.Class, Budget: c.policy.budget, Deadline: c.deadline, UnderRetry: c.head.Retry,
-		Resendable: c.body.whole(), Alone: c.alone,
+		Class: c.route.Class, Budget: c.policy.budget, Deadline: c.deadline, UnderRetry: c.metadata.Retry,
+		Resendable: c.body.buffered(), Alone: c.exclusive,
 	})
-	run := &forwarding{call: c, plan: plan, results: make(chan attemptResult, maxAttemptsInFlight)}
-	run.source = rand.NewPCG(rand.Uint64(), rand.Uint64())
+	run := &forwarder{call: c, plan: plan, results: make(chan attemptResult, maxAttemptsInFlight)}
+	run.random = rand.NewPCG(rand.Uint64(), rand.Uint64())
 	return run.run(ctx)
 }
 
 // attempt sends the call to one upstream and returns once its answer has begun.
 func (c *ingressCall) attempt(
-	ctx context.Context, target balance.Target, retried bool, reached func(),
+	ctx context.Context, target balance.Target, isRetry bool, onAcknowledged func(),
 ) attemptResult {
 	now := time.Now()
-	head := c.head
+	head := c.metadata
 	// The answer needs the way back: one that ends later is of no use.
 	head.Remaining = c.deadline.Sub(now) - c.node.options.zoneDelay(target.Zone)
-	head.TargetRemaining = c.patience()
+	head.TargetRemaining = c.timeUntilTarget()
 	head.Incarnation = target.Incarnation
-	head.Exclusive = c.alone
-	head.Retry = c.head.Retry || retried
-	answer := c.node.send(ctx, target, &head, &c.body, reached)
-	if c.bounded != nil && c.bounded.exceeded.Load() && answer.head.Outcome != protocol.OutcomeDone {
-		answer.head.Reason = protocol.ReasonTooLarge
+	head.Exclusive = c.exclusive
+	head.Retry = c.metadata.Retry || isRetry
+	reply := c.node.send(ctx, target, &head, &c.body, onAcknowledged)
+	if c.limitedBody != nil && c.limitedBody.exceeded.Load() && reply.metadata.Outcome != protocol.OutcomeDone {
+		reply.metadata.Reason = protocol.ReasonTooLarge
 	}
-	elsewhere := answer.head.Upstream
+	externalTime := reply.metadata.Upstream
 	if target.ID != c.node.id {
-		elsewhere += 2 * c.node.options.zoneDelay(target.Zone)
+		externalTime += 2 * c.node.options.zoneDelay(target.Zone)
 	}
-	c.node.balancer.Done(time.Now(), target, c.report(ctx, answer, time.Since(now)))
-	return attemptResult{answer: answer, elsewhere: elsewhere}
+	c.node.balancer.Done(time.Now(), target, c.balancerReport(ctx, reply, time.Since(now)))
+	return attemptResult{reply: reply, externalTime: externalTime}
 }
 
 // patience returns how much longer an answer has its full value; 0 if the route sets no target.
-func (c *ingressCall) patience() time.Duration {
+func (c *ingressCall) timeUntilTarget() time.Duration {
 	if c.route.TargetMs == 0 {
 		return 0
 	}
@@ -299,25 +299,25 @@
 	return max(target-time.Since(c.started), time.Millisecond)
 }
 
-func (c *ingressCall) report(ctx context.Context, answer *reply, took time.Duration) balance.Report {
+func (c *ingressCall) balancerReport(ctx context.Context, reply *callReply, elapsed time.Duration) balance.Report {
 	report := balance.Report{
-		Outcome: balance.Completed, Latency: took, Route: c.route.Name, ServiceTime: answer.head.Upstream,
+		Outcome: balance.Completed, Latency: elapsed, Route: c.route.Name, ServiceTime: reply.metadata.Upstream,
 	}
-	if load := answer.head.Load; load.Slots > 0 {
+	if load := reply.metadata.Load; load.Slots > 0 {
 		reported := balanceLoad(load)
 		report.Load = &reported
 	}
 	switch {
-	case errors.Is(ctx.Err(), context.Canceled), answer.head.Reason == protocol.ReasonTooLarge:
+	case errors.Is(ctx.Err(), context.Canceled), reply.metadata.Reason == protocol.ReasonTooLarge:
 		// The caller ended the call; this says nothing about the upstream.
 		report.Outcome = balance.Canceled
-	case answer.head.Reason == protocol.ReasonNodeFailed, answer.head.Reason == protocol.ReasonUnreachable:
+	case reply.metadata.Reason == protocol.ReasonNodeFailed, reply.metadata.Reason == protocol.ReasonUnreachable:
 		report.Outcome = balance.ConnectFailed
-	case answer.head.Reason == protocol.ReasonUpstreamRefused, answer.failedByUpstream():
+	case reply.metadata.Reason == protocol.ReasonUpstreamRefused, reply.failedByUpstream():
 		report.Outcome = balance.ErrorResponse
-	case answer.head.Outcome == protocol.OutcomeNotRun:
+	case reply.metadata.Outcome == protocol.OutcomeNotRun:
 		report.Outcome = balance.Refused
-	case answer.head.Outcome == protocol.OutcomeUnknown:
+	case reply.metadata.Outcome == protocol.OutcomeUnknown:
 		report.Outcome = balance.Failed
 	}
 	return report
@@ -325,11 +325,11 @@
 
 // send runs a call on the upstream beside this node, or through the node beside another one.
 func (n *Node) send(
-	ctx context.Context, target balance.Target, head *protocol.CallMetadata, body *requestBody, reached func(),
-) *reply {
+	ctx context.Context, target balance.Target, meta *protocol.CallMetadata, body *requestBody, onAcknowledged func(),
+) *callReply {
 	if target.ID == n.id {
-		reached()
-		return n.executor.run(ctx, head, body)
+		onAcknowledged()
+		return n.executor.run(ctx, meta, body)
 	}
-	return n.callRemote(ctx, target, head, body, reached)
+	return n.callRemote(ctx, target, meta, body, onAcknowledged)
 }
--- a/node/once_test.go
+++ b/node/irreversible_test.go
@@ -16,14 +16,14 @@
 )
 
 // gated counts its runs and answers with their number once it is released.
-type gated struct {
+type blockingUpstream struct {
 	runs    atomic.Int32
 	release chan struct{}
 }
 
-func newGated() *gated { return &gated{release: make(chan struct{})} }
+func newBlockingUpstream() *blockingUpstream { return &blockingUpstream{release: make(chan struct{})} }
 
-func (g *gated) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *blockingUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	run := g.runs.Add(1)
 	select {
@@ -35,12 +35,12 @@
 	fmt.Fprintf(w, "run %d", run)
 }
 
-func (g *gated) open() *gated {
+func (g *blockingUpstream) unblock() *blockingUpstream {
 	close(g.release)
 	return g
 }
 
-const key = protocol.HeaderKey
+const keyHeader = protocol.HeaderKey
 
 var _ = Describe("irreversible calls", func() {
 	for _, remote := range []bool{false, true} {
@@ -49,45 +49,45 @@
 			// Guards against a second run when the caller lost the first answer, and against an answer that is given up
 			// with its caller.
 			It("runs once and gives the resend the first answer", func() {
-				control, upstream := newFakeLedger(), newGated()
-				f := newFixture(remote, control.server.Address(), 2, upstream.ServeHTTP)
-				ctx, leave := context.WithCancel(context.Background())
-				first := f.async(ctx, "/promote", "dan 3", key, "k1")
-				Eventually(upstream.runs.Load, patience).Should(BeEquivalentTo(1))
-				leave()
+				ledgerServer, upstream := newFakeLedger(), newBlockingUpstream()
+				f := newFixture(remote, ledgerServer.server.Address(), 2, upstream.ServeHTTP)
+				ctx, disconnect := context.WithCancel(context.Background())
+				first := f.async(ctx, "/promote", "dan 3", keyHeader, "k1")
+				Eventually(upstream.runs.Load, eventuallyTimeout).Should(BeEquivalentTo(1))
+				disconnect()
 				Expect((<-first).err).To(HaveOccurred())
-				upstream.open()
-				Eventually(func() ledger.Status { return control.status("k1") }, patience).Should(Equal(ledger.Done))
-				Eventually(f.executor.InFlight, patience).Should(BeZero())
+				upstream.unblock()
+				Eventually(func() ledger.Status { return ledgerServer.status("k1") }, eventuallyTimeout).Should(Equal(ledger.Done))
+				Eventually(f.executor.InFlight, eventuallyTimeout).Should(BeZero())
 				for range 2 {
-					again := f.post("/promote", "dan 3", key, "k1")
-					Expect(again.err).NotTo(HaveOccurred())
-					Expect(again.status).To(Equal(http.StatusCreated))
-					Expect(string(again.body)).To(Equal("run 1"))
-					Expect(again.outcome()).To(Equal("done"))
+					resent := f.post("/promote", "dan 3", keyHeader, "k1")
+					Expect(resent.err).NotTo(HaveOccurred())
+					Expect(resent.status).To(Equal(http.StatusCreated))
+					Expect(string(resent.body)).To(Equal("run 1"))
+					Expect(resent.outcome()).To(Equal("done"))
 				}
 				Expect(upstream.runs.Load()).To(BeEquivalentTo(1))
 			})
 
 			// Guards against "not-run" for a request whose first attempt ran, when a later attempt is refused.
 			It("never reports a refused resend as not run", func() {
-				control, upstream := newFakeLedger(), newGated()
-				f := newFixture(remote, control.server.Address(), 2, upstream.ServeHTTP)
-				first := f.async(context.Background(), "/promote", "dan 3", key, "k1")
-				Eventually(upstream.runs.Load, patience).Should(BeEquivalentTo(1))
-				waiting := f.post("/promote", "dan 3", key, "k1", protocol.HeaderDeadline, "500")
+				ledgerServer, upstream := newFakeLedger(), newBlockingUpstream()
+				f := newFixture(remote, ledgerServer.server.Address(), 2, upstream.ServeHTTP)
+				first := f.async(context.Background(), "/promote", "dan 3", keyHeader, "k1")
+				Eventually(upstream.runs.Load, eventuallyTimeout).Should(BeEquivalentTo(1))
+				waiting := f.post("/promote", "dan 3", keyHeader, "k1", protocol.HeaderDeadline, "500")
 				Expect(waiting.outcome()).To(Equal("unknown"))
 				Expect(waiting.header.Get(protocol.HeaderOutcomeURL)).NotTo(BeEmpty())
-				f.leaveUpstream()
-				refused := f.post("/promote", "dan 3", key, "k1", protocol.HeaderDeadline, "2000")
+				f.withdrawUpstream()
+				refused := f.post("/promote", "dan 3", keyHeader, "k1", protocol.HeaderDeadline, "2000")
 				Expect(refused.outcome()).To(Equal("unknown"))
-				upstream.open()
+				upstream.unblock()
 				Expect(string((<-first).body)).To(Equal("run 1"))
-				Eventually(func() ledger.Status { return control.status("k1") }, patience).Should(Equal(ledger.Done))
-				recorded := f.post("/promote", "dan 3", key, "k1")
+				Eventually(func() ledger.Status { return ledgerServer.status("k1") }, eventuallyTimeout).Should(Equal(ledger.Done))
+				recorded := f.post("/promote", "dan 3", keyHeader, "k1")
 				Expect(recorded.outcome()).To(Equal("done"))
 				Expect(string(recorded.body)).To(Equal("run 1"))
-				fresh := f.post("/promote", "dan 3", key, "k2")
+				fresh := f.post("/promote", "dan 3", keyHeader, "k2")
 				Expect(fresh.outcome()).To(Equal("not-run"))
 				Expect(upstream.runs.Load()).To(BeEquivalentTo(1))
 			})
@@ -96,9 +96,9 @@
 			It("answers unknown and does not run when the ledger is unreachable", func() {
 				closed := listen()
 				Expect(closed.Close()).To(Succeed())
-				upstream := newGated().open()
+				upstream := newBlockingUpstream().unblock()
 				f := newFixture(remote, closed.Addr().String(), 2, upstream.ServeHTTP)
-				got := f.post("/promote", "dan 3", key, "k1", protocol.HeaderDeadline, "500")
+				got := f.post("/promote", "dan 3", keyHeader, "k1", protocol.HeaderDeadline, "500")
 				Expect(got.err).NotTo(HaveOccurred())
 				Expect(got.outcome()).To(Equal("unknown"))
 				Expect(got.status).To(BeNumerically(">=", 500))
@@ -109,34 +109,34 @@
 
 	// Guards against a claim that is granted but whose lost reply leaves the call neither run nor released.
 	It("runs once when the ledger's reply to the claim is lost", func() {
-		control, upstream := newFakeLedger(), newGated().open()
-		control.lost = 1
-		f := newFixture(true, control.server.Address(), 2, upstream.ServeHTTP)
-		Expect(string(f.post("/promote", "dan 3", key, "k1").body)).To(Equal("run 1"))
-		Expect(string(f.post("/promote", "dan 3", key, "k1").body)).To(Equal("run 1"))
+		ledgerServer, upstream := newFakeLedger(), newBlockingUpstream().unblock()
+		ledgerServer.lostClaimReplies = 1
+		f := newFixture(true, ledgerServer.server.Address(), 2, upstream.ServeHTTP)
+		Expect(string(f.post("/promote", "dan 3", keyHeader, "k1").body)).To(Equal("run 1"))
+		Expect(string(f.post("/promote", "dan 3", keyHeader, "k1").body)).To(Equal("run 1"))
 		Expect(upstream.runs.Load()).To(BeEquivalentTo(1))
 	})
 
 	// Guards against an upstream's refusal that keeps its claim, which would answer "unknown" for good.
 	It("releases the claim of a call that the upstream refused", func() {
-		control := newFakeLedger()
-		f := newFixture(false, control.server.Address(), 2, func(w http.ResponseWriter, _ *http.Request) {
+		ledgerServer := newFakeLedger()
+		f := newFixture(false, ledgerServer.server.Address(), 2, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(protocol.HeaderOutcome, "not-run")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
-		Expect(f.post("/promote", "dan 3", key, "k1").outcome()).To(Equal("not-run"))
-		Expect(control.status("k1")).To(Equal(ledger.Released))
+		Expect(f.post("/promote", "dan 3", keyHeader, "k1").outcome()).To(Equal("not-run"))
+		Expect(ledgerServer.status("k1")).To(Equal(ledger.Released))
 	})
 
 	// Guards against two requests under one key, and against irreversible runs without a key.
 	It("refuses a request without a key and a key of another request", func() {
-		upstream := newGated().open()
+		upstream := newBlockingUpstream().unblock()
 		f := newFixture(false, newFakeLedger().server.Address(), 2, upstream.ServeHTTP)
 		Expect(f.post("/promote", "dan 3").status).To(Equal(http.StatusBadRequest))
-		Expect(f.post("/promote", "dan 3", key, strings.Repeat("k", 257)).status).To(Equal(http.StatusBadRequest))
+		Expect(f.post("/promote", "dan 3", keyHeader, strings.Repeat("k", 257)).status).To(Equal(http.StatusBadRequest))
 		Expect(upstream.runs.Load()).To(BeZero())
-		Expect(f.post("/promote", "dan 3", key, "k1").status).To(Equal(http.StatusCreated))
-		reused := f.post("/promote", "dan 4", key, "k1")
+		Expect(f.post("/promote", "dan 3", keyHeader, "k1").status).To(Equal(http.StatusCreated))
+		reused := f.post("/promote", "dan 4", keyHeader, "k1")
 		Expect(reused.status).To(Equal(http.StatusUnprocessableEntity))
 		Expect(reused.outcome()).To(Equal("not-run"))
 		Expect(upstream.runs.Load()).To(BeEquivalentTo(1))
@@ -147,17 +147,17 @@
 		var runs atomic.Int32
 		f := newFixture(true, newFakeLedger().server.Address(), 2, func(w http.ResponseWriter, _ *http.Request) {
 			runs.Add(1)
-			cut(w, 10, 1000)
+			sendTruncated(w, 10, 1000)
 		})
 		for _, deadline := range []string{"15000", "1000"} {
-			got := f.post("/promote", "dan 3", key, "k1", protocol.HeaderDeadline, deadline)
+			got := f.post("/promote", "dan 3", keyHeader, "k1", protocol.HeaderDeadline, deadline)
 			Expect(got.outcome()).To(Equal("unknown"))
 		}
 		Expect(runs.Load()).To(BeEquivalentTo(1))
 	})
 })
 
-func (f *fixture) leaveUpstream() {
+func (f *fixture) withdrawUpstream() {
 	request, err := http.NewRequest(http.MethodDelete, "http://"+f.admin+"/v1/upstream", nil)
 	Expect(err).NotTo(HaveOccurred())
 	response, err := f.client.Do(request)
--- a/node/keyless_test.go
+++ b/node/keyless_test.go
@@ -18,21 +18,21 @@
 )
 
 // foreign is the dialect of callers and upstreams that number their requests.
-var foreign = protocol.Dialect{
+var customDialect = protocol.Dialect{
 	Deadline: "X-Left-Ms", RequestID: "X-Request", CallerService: "X-From", ExpectUpstream: "X-For", Proof: "X-Proof",
 	NotRun: "X-Not-Run", FractionalRetryAfter: true,
 }
 
 // foreignNode starts a node with that dialect and an upstream, and returns the callers' address.
-func foreignNode(
+func startCustomDialectNode(
 	handler http.HandlerFunc, configure ...func(*node.Options),
 ) (started *node.Node, callers, upstream string) {
 	server := httptest.NewServer(handler)
 	DeferCleanup(func() { server.CloseClientConnections(); server.Close() })
-	callersAt := listen()
+	callersListener := listen()
 	options := node.Options{
-		ID: "n1", Zone: "a", Callers: callersAt, Mesh: listen(), Admin: listen(), Members: []string{"127.0.0.1:9"},
-		Keys: bundle.NewKeyring(nil), Logger: zerolog.Nop(), Dialect: foreign, Service: "desk", NoHedging: true,
+		ID: "n1", Zone: "a", Callers: callersListener, Mesh: listen(), Admin: listen(), Members: []string{"127.0.0.1:9"},
+		Keys: bundle.NewKeyring(nil), Logger: zerolog.Nop(), Dialect: customDialect, Service: "desk", NoHedging: true,
 		Limits: node.Limits{HealthInterval: -1},
 	}
 	for _, change := range configure {
@@ -46,24 +46,24 @@
 		b.Routes[i].Keyless = b.Routes[i].Class == bundle.ClassIrreversible
 	}
 	Expect(started.PutInForce(bundle.Approval{Version: 1}, b)).To(Succeed())
-	return started, callersAt.Addr().String(), strings.TrimPrefix(server.URL, "http://")
+	return started, callersListener.Addr().String(), strings.TrimPrefix(server.URL, "http://")
 }
 
-func beat(n *node.Node, address, id string, born int64, sequence uint64, leaving bool) error {
+func sendHeartbeat(n *node.Node, address, id string, incarnation int64, sequence uint64, leaving bool) error {
 	return n.Heartbeat(node.Heartbeat{
-		Announcement: node.Announcement{Service: "desk", Address: address, Slots: 4, ID: id, Incarnation: born},
+		Announcement: node.Announcement{Service: "desk", Address: address, Slots: 4, ID: id, Incarnation: incarnation},
 		Sequence:     sequence, Leaving: leaving,
 	})
 }
 
 // learn hands the node its own record, which the distribution tree would bring.
-func learn(n *node.Node) {
-	Eventually(func() bool { _, ok := n.OwnRecord(); return ok }, patience).Should(BeTrue())
+func learnOwnRecord(n *node.Node) {
+	Eventually(func() bool { _, ok := n.OwnRecord(); return ok }, eventuallyTimeout).Should(BeTrue())
 	record, _ := n.OwnRecord()
-	Expect(n.Learn(record)).To(Succeed())
+	Expect(n.MergeEndpoint(record)).To(Succeed())
 }
 
-func call(address, path, id string) (*http.Response, error) {
+func sendRequest(address, path, id string) (*http.Response, error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader("body"))
 	Expect(err).NotTo(HaveOccurred())
 	request.Header.Set("X-Request", id)
@@ -77,12 +77,12 @@
 
 var _ = Describe("a keyless irreversible call", func() {
 	var runs atomic.Int64
-	var behaviour atomic.Pointer[http.HandlerFunc]
+	var currentHandler atomic.Pointer[http.HandlerFunc]
 	var callers, upstream string
 	var n *node.Node
 
-	answerWith := func(handler http.HandlerFunc) { behaviour.Store(&handler) }
-	genuine := func(w http.ResponseWriter, r *http.Request) {
+	respondWith := func(handler http.HandlerFunc) { currentHandler.Store(&handler) }
+	respondValid := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Request", r.Header.Get("X-Request"))
 		w.Header().Set("X-Proof", "1")
 		fmt.Fprint(w, r.Header.Get("X-From"), " ", r.Header.Get("X-For"))
@@ -90,23 +90,23 @@
 
 	BeforeEach(func() {
 		runs.Store(0)
-		answerWith(genuine)
-		n, callers, upstream = foreignNode(func(w http.ResponseWriter, r *http.Request) {
+		respondWith(respondValid)
+		n, callers, upstream = startCustomDialectNode(func(w http.ResponseWriter, r *http.Request) {
 			runs.Add(1)
-			(*behaviour.Load())(w, r)
+			(*currentHandler.Load())(w, r)
 		})
-		Expect(beat(n, upstream, "u1", 1, 1, false)).To(Succeed())
-		learn(n)
+		Expect(sendHeartbeat(n, upstream, "u1", 1, 1, false)).To(Succeed())
+		learnOwnRecord(n)
 	})
 
 	It("runs once without a key, for the upstream that it was meant for", func() {
-		answerWith(func(w http.ResponseWriter, r *http.Request) {
+		respondWith(func(w http.ResponseWriter, r *http.Request) {
 			Expect(r.Header.Get("X-From")).To(Equal("desk"), "set by the node whatever the caller says")
 			Expect(r.Header.Get("X-For")).To(Equal("u1"))
 			Expect(r.Header.Get("X-Left-Ms")).NotTo(BeEmpty())
-			genuine(w, r)
+			respondValid(w, r)
 		})
-		response, err := call(callers, "/promote", "r1")
+		response, err := sendRequest(callers, "/promote", "r1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusOK))
 		Expect(response.Header).NotTo(HaveKey(protocol.HeaderOutcome))
@@ -115,13 +115,13 @@
 
 	// Guards against a success that is not one: without the upstream's proof, or the answer to another request.
 	DescribeTable("passes on no success that is not the upstream's answer to it", func(change func(http.Header)) {
-		answerWith(func(w http.ResponseWriter, r *http.Request) {
+		respondWith(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Request", r.Header.Get("X-Request"))
 			w.Header().Set("X-Proof", "1")
 			change(w.Header())
 			fmt.Fprint(w, "text")
 		})
-		response, err := call(callers, "/promote", "r1")
+		response, err := sendRequest(callers, "/promote", "r1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusBadGateway))
 		Expect(runs.Load()).To(Equal(int64(1)))
@@ -134,11 +134,11 @@
 
 	// Guards against an answer that is cut since the call's context ends before all of it is passed on.
 	It("passes on a long answer whole", func() {
-		long := strings.Repeat("answer ", 60_000)
-		answerWith(func(w http.ResponseWriter, r *http.Request) {
+		longBody := strings.Repeat("answer ", 60_000)
+		respondWith(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Request", r.Header.Get("X-Request"))
 			w.Header().Set("X-Proof", "1")
-			fmt.Fprint(w, long)
+			fmt.Fprint(w, longBody)
 		})
 		request, err := http.NewRequest(http.MethodPost, "http://"+callers+"/promote", strings.NewReader("body"))
 		Expect(err).NotTo(HaveOccurred())
@@ -148,27 +148,27 @@
 		defer response.Body.Close()
 		body, err := io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(len(body)).To(Equal(len(long)))
+		Expect(len(body)).To(Equal(len(longBody)))
 	})
 
 	// Guards against a false "not run" after the request reached the upstream, and against a second run.
 	It("is reported as unknown, and not sent again, when its connection breaks", func() {
-		answerWith(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-		response, err := call(callers, "/promote", "r1")
+		respondWith(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+		response, err := sendRequest(callers, "/promote", "r1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusBadGateway))
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
 	DescribeTable("is reported as not run when the upstream says so", func(status int, header string) {
-		answerWith(func(w http.ResponseWriter, r *http.Request) {
+		respondWith(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Request", r.Header.Get("X-Request"))
 			if header != "" {
 				w.Header().Set(header, "1")
 			}
 			w.WriteHeader(status)
 		})
-		response, err := call(callers, "/promote", "r1")
+		response, err := sendRequest(callers, "/promote", "r1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(response.Header.Get("Retry-After")).To(MatchRegexp(`^0\.\d+$`))
@@ -178,22 +178,22 @@
 	)
 
 	Describe("with heartbeats of its upstream", func() {
-		accepted := func() int {
-			response, err := call(callers, "/promote", "r")
+		promoteStatus := func() int {
+			response, err := sendRequest(callers, "/promote", "r")
 			Expect(err).NotTo(HaveOccurred())
 			return response.StatusCode
 		}
 
 		// Guards against a late heartbeat that brings a leaving upstream back, or one that has been replaced.
 		It("ignores those that were overtaken", func() {
-			Expect(beat(n, upstream, "u1", 1, 3, true)).To(Succeed())
-			Expect(accepted()).To(Equal(http.StatusServiceUnavailable))
-			Expect(beat(n, upstream, "u1", 1, 2, false)).To(Succeed())
-			Expect(accepted()).To(Equal(http.StatusServiceUnavailable))
-			Expect(beat(n, upstream, "u2", 2, 1, false)).To(Succeed())
-			Expect(accepted()).To(Equal(http.StatusOK))
-			Expect(beat(n, upstream, "u1", 1, 9, true)).To(Succeed())
-			Expect(accepted()).To(Equal(http.StatusOK))
+			Expect(sendHeartbeat(n, upstream, "u1", 1, 3, true)).To(Succeed())
+			Expect(promoteStatus()).To(Equal(http.StatusServiceUnavailable))
+			Expect(sendHeartbeat(n, upstream, "u1", 1, 2, false)).To(Succeed())
+			Expect(promoteStatus()).To(Equal(http.StatusServiceUnavailable))
+			Expect(sendHeartbeat(n, upstream, "u2", 2, 1, false)).To(Succeed())
+			Expect(promoteStatus()).To(Equal(http.StatusOK))
+			Expect(sendHeartbeat(n, upstream, "u1", 1, 9, true)).To(Succeed())
+			Expect(promoteStatus()).To(Equal(http.StatusOK))
 		})
 
 		// Guards against an upstream that keeps its calls because something else changes in the heartbeat that says it leaves.
@@ -202,21 +202,21 @@
 				Announcement: node.Announcement{Service: "desk", Address: upstream, Slots: 2, ID: "u1", Incarnation: 1},
 				Sequence:     2, Leaving: true,
 			})).To(Succeed())
-			Expect(accepted()).To(Equal(http.StatusServiceUnavailable))
+			Expect(promoteStatus()).To(Equal(http.StatusServiceUnavailable))
 		})
 
 		// Guards against the counts of a former start being taken for those of this one.
 		It("takes a restart under the same identity for a new upstream", func() {
-			Expect(beat(n, upstream, "u1", 1, 90, true)).To(Succeed())
-			Expect(beat(n, upstream, "u1", 2, 1, false)).To(Succeed())
-			Expect(accepted()).To(Equal(http.StatusOK))
+			Expect(sendHeartbeat(n, upstream, "u1", 1, 90, true)).To(Succeed())
+			Expect(sendHeartbeat(n, upstream, "u1", 2, 1, false)).To(Succeed())
+			Expect(promoteStatus()).To(Equal(http.StatusOK))
 		})
 
 		It("gives an upstream that departs no more calls, whatever it says after", func() {
-			n.Depart("u1")
-			Expect(accepted()).To(Equal(http.StatusServiceUnavailable))
-			Expect(beat(n, upstream, "u1", 1, 2, false)).To(Succeed())
-			Expect(accepted()).To(Equal(http.StatusServiceUnavailable))
+			n.DeregisterUpstream("u1")
+			Expect(promoteStatus()).To(Equal(http.StatusServiceUnavailable))
+			Expect(sendHeartbeat(n, upstream, "u1", 1, 2, false)).To(Succeed())
+			Expect(promoteStatus()).To(Equal(http.StatusServiceUnavailable))
 		})
 	})
 })
--- a/node/ledger.go
+++ b/node/ledger.go
@@ -13,7 +13,7 @@
 )
 
 // errLedger means that the ledger gave no answer: the command may or may not be committed.
-var errLedger = errors.New("node: ledger gave no answer")
+var errLedgerUncertain = errors.New("node: ledger gave no answer")
 
 // errNotProposed means that no member accepted the command: it was surely not proposed.
 var errNotProposed = errors.New("node: no control member accepted the command")
@@ -37,39 +37,39 @@
 }
 
 // do commits a command and returns its result. It tries until the context ends.
-func (c *ledgerClient) do(ctx context.Context, key string, command ledger.Command) (ledger.Result, error) {
+func (c *ledgerClient) commit(ctx context.Context, key string, command ledger.Command) (ledger.Result, error) {
 	data, err := protocol.Marshal(command)
 	if err != nil {
 		return ledger.Result{}, err
 	}
 	request := &protocol.ProposeRequest{Target: protocol.TargetLedger, Key: key, Command: data}
-	uncertain := false
-	for turn := 0; ; turn++ {
-		address := c.choose(key, turn)
+	maybeProposed := false
+	for try := 0; ; try++ {
+		address := c.chooseMember(key, try)
 		if address == "" {
 			return ledger.Result{}, errors.Wrap(errNotProposed, "none is known")
 		}
-		reply, err := c.attempt(ctx, address, request)
-		c.learn(key, address, reply)
+		reply, err := c.propose(ctx, address, request)
+		c.updateLeader(key, address, reply)
 		if err == nil && reply.Status == protocol.ProposeApplied {
 			var result ledger.Result
 			return result, protocol.Unmarshal(reply.Result, &result)
 		}
-		uncertain = uncertain || err != nil || reply.Status == protocol.ProposeUncertain
+		maybeProposed = maybeProposed || err != nil || reply.Status == protocol.ProposeUncertain
 		if ctx.Err() != nil {
 			cause := errNotProposed
-			if uncertain {
-				cause = errLedger
+			if maybeProposed {
+				cause = errLedgerUncertain
 			}
 			return ledger.Result{}, errors.Wrapf(cause, "%v", ctx.Err())
 		}
-		if turn > 0 {
+		if try > 0 {
 			sleep(ctx, ledgerRetryDelay)
 		}
 	}
 }
 
-func (c *ledgerClient) attempt(
+func (c *ledgerClient) propose(
 	ctx context.Context, address string, request *protocol.ProposeRequest,
 ) (*protocol.ProposeReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, ledgerAttemptTimeout)
@@ -78,7 +78,7 @@
 }
 
 // choose returns the leader of the key's group if it is known, otherwise the members in turn.
-func (c *ledgerClient) choose(key string, turn int) string {
+func (c *ledgerClient) chooseMember(key string, try int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.leaders) > 0 {
@@ -90,11 +90,11 @@
 	if len(members) == 0 {
 		return ""
 	}
-	return members[turn%len(members)]
+	return members[try%len(members)]
 }
 
 // learn keeps the leader that answered or that a member named, and forgets one that gave no useful answer.
-func (c *ledgerClient) learn(key, address string, reply *protocol.ProposeReply) {
+func (c *ledgerClient) updateLeader(key, address string, reply *protocol.ProposeReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if reply != nil && reply.LedgerGroups > 0 && reply.LedgerGroups != len(c.leaders) {
--- a/node/liveness.go
+++ b/node/liveness.go
@@ -20,7 +20,7 @@
 	// instances that are only slow, and both attempts then run.
 	pingTimeout = time.Second
 	// suspension keeps calls away from a failed instance. Each further probe without a response renews it.
-	suspension = 2 * time.Second
+	suspensionTime = 2 * time.Second
 )
 
 // liveness detects instances that do not respond and takes calls away from them. Package detector decides; this type has the
@@ -35,13 +35,13 @@
 	probes *rpc.Pool
 
 	mu        sync.Mutex
-	ended     bool
-	instances map[string]*instance
+	stopped   bool
+	instances map[string]*remoteInstance
 	nextCall  uint64
 }
 
 // instance is what a node knows of another one that it sends calls to.
-type instance struct {
+type remoteInstance struct {
 	target   balance.Target
 	detector detector.Detector
 	timer    *time.Timer
@@ -52,12 +52,12 @@
 // pendingCall is a call that waits for a response.
 type pendingCall struct {
 	liveness *liveness
-	instance *instance
-	call     uint64
+	instance *remoteInstance
+	callID   uint64
 }
 
 // sent notes a call. cancel ends it so that it can be sent elsewhere.
-func (l *liveness) sent(target balance.Target, class bundle.Class, cancel context.CancelFunc) *pendingCall {
+func (l *liveness) trackCall(target balance.Target, class bundle.Class, cancel context.CancelFunc) *pendingCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.instances[target.ID]
@@ -67,7 +67,7 @@
 		known = nil
 	}
 	if known == nil {
-		known = &instance{target: target, repeatable: make(map[uint64]context.CancelFunc)}
+		known = &remoteInstance{target: target, repeatable: make(map[uint64]context.CancelFunc)}
 		l.instances[target.ID] = known
 	}
 	l.nextCall++
@@ -75,48 +75,48 @@
 	if class != bundle.ClassIrreversible {
 		known.repeatable[l.nextCall] = cancel
 	}
-	l.arm(known)
-	return &pendingCall{liveness: l, instance: known, call: l.nextCall}
+	l.armTimer(known)
+	return &pendingCall{liveness: l, instance: known, callID: l.nextCall}
 }
 
 // heard notes that the instance has responded.
-func (p *pendingCall) heard() {
+func (p *pendingCall) responded() {
 	l := p.liveness
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.apply(p.instance, p.instance.detector.ResponseReceived(time.Now()))
+	l.applyChange(p.instance, p.instance.detector.ResponseReceived(time.Now()))
 }
 
 // end notes that the call no longer waits.
-func (p *pendingCall) end() {
+func (p *pendingCall) finish() {
 	l := p.liveness
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p.instance.detector.CallEnded(p.call)
-	delete(p.instance.repeatable, p.call)
+	p.instance.detector.CallEnded(p.callID)
+	delete(p.instance.repeatable, p.callID)
 }
 
 // arm sets the timer for the next probe. A timer that runs is left as it is: it looks again when it fires. The lock is
 // held.
-func (l *liveness) arm(i *instance) {
-	if i.timer != nil || l.ended {
+func (l *liveness) armTimer(i *remoteInstance) {
+	if i.timer != nil || l.stopped {
 		return // This is the case for most calls; Next looks at all that wait.
 	}
 	next, ok := i.detector.NextProbe()
 	if !ok {
 		return
 	}
-	i.timer = time.AfterFunc(max(time.Until(next), 0), func() { l.check(i) })
+	i.timer = time.AfterFunc(max(time.Until(next), 0), func() { l.probeIfDue(i) })
 }
 
 // check probes the instance if a probe is due.
-func (l *liveness) check(i *instance) {
+func (l *liveness) probeIfDue(i *remoteInstance) {
 	l.mu.Lock()
 	i.timer = nil
 	failed := i.detector.Failed()
-	due := !l.ended && i.detector.StartProbe(time.Now())
+	due := !l.stopped && i.detector.StartProbe(time.Now())
 	if !due {
-		l.arm(i)
+		l.armTimer(i)
 		if i.detector.Idle() && l.instances[i.target.ID] == i {
 			delete(l.instances, i.target.ID)
 		}
@@ -129,11 +129,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.apply(i, i.detector.EndProbe(now, responded))
+	l.applyChange(i, i.detector.EndProbe(now, responded))
 	if i.detector.Failed() {
-		l.balancer.Suspend(i.target, now.Add(suspension))
+		l.balancer.Suspend(i.target, now.Add(suspensionTime))
 	}
-	l.arm(i)
+	l.armTimer(i)
 }
 
 // probe reports whether the process that the calls were sent to responds.
@@ -150,7 +150,7 @@
 }
 
 // apply carries out a change. The lock is held.
-func (l *liveness) apply(i *instance, change detector.Change) {
+func (l *liveness) applyChange(i *remoteInstance, change detector.Change) {
 	switch change {
 	case detector.Failed:
 		l.logger.Warn().Str("to", i.target.ID).Str("zone", i.target.Zone).Int("repeatable_calls", len(i.repeatable)).
@@ -172,7 +172,7 @@
 func (l *liveness) stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended = true
+	l.stopped = true
 	for _, i := range l.instances {
 		if i.timer != nil {
 			i.timer.Stop()
--- a/node/liveness_test.go
+++ b/node/liveness_test.go
@@ -20,12 +20,12 @@
 )
 
 // silentLink is a way to an instance that can lose everything without closing a connection, as a loss of power does.
-type silentLink struct {
-	silent atomic.Bool
+type blackholeLink struct {
+	dropping atomic.Bool
 }
 
-func (l *silentLink) dial(ctx context.Context, address string) (net.Conn, error) {
-	if l.silent.Load() {
+func (l *blackholeLink) dial(ctx context.Context, address string) (net.Conn, error) {
+	if l.dropping.Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -33,50 +33,50 @@
 	if err != nil {
 		return nil, err
 	}
-	return &silentConn{Conn: conn, link: l, closed: make(chan struct{})}, nil
+	return &blackholeConn{Conn: conn, link: l, closed: make(chan struct{})}, nil
 }
 
 // silentConn stays open and silent once its link has been silent, also when the other side is gone.
-type silentConn struct {
+type blackholeConn struct {
 	net.Conn
-	link   *silentLink
-	dead   atomic.Bool
-	once   sync.Once
-	closed chan struct{}
+	link       *blackholeLink
+	blackholed atomic.Bool
+	once       sync.Once
+	closed     chan struct{}
 }
 
-func (c *silentConn) lost() bool {
-	if c.link.silent.Load() {
-		c.dead.Store(true)
+func (c *blackholeConn) isBlackholed() bool {
+	if c.link.dropping.Load() {
+		c.blackholed.Store(true)
 	}
-	return c.dead.Load()
+	return c.blackholed.Load()
 }
 
-func (c *silentConn) Write(data []byte) (int, error) {
-	if c.lost() {
+func (c *blackholeConn) Write(data []byte) (int, error) {
+	if c.isBlackholed() {
 		return len(data), nil
 	}
 	return c.Conn.Write(data)
 }
 
-func (c *silentConn) Read(data []byte) (int, error) {
+func (c *blackholeConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
-	if c.lost() {
+	if c.isBlackholed() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-func (c *silentConn) Close() error {
+func (c *blackholeConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
 var _ = Describe("an instance that loses power", func() {
-	var link *silentLink
+	var link *blackholeLink
 	var ingress string
-	var silentRuns, otherRuns atomic.Int64
+	var firstRuns, secondRuns atomic.Int64
 	var release chan struct{}
 	var ingressNode *node.Node
 	// restart starts the first instance anew at its address.
@@ -93,30 +93,30 @@
 
 	// Two instances serve lookups; the link to the first one can fall silent. Calls that ask for it are held there.
 	BeforeEach(func() {
-		link = &silentLink{}
-		silentRuns.Store(0)
-		otherRuns.Store(0)
+		link = &blackholeLink{}
+		firstRuns.Store(0)
+		secondRuns.Store(0)
 		release = make(chan struct{})
-		callersAt := listen()
-		var lossy string
+		callersListener := listen()
+		var firstAddress string
 		dial := func(ctx context.Context, address string) (net.Conn, error) {
-			if address == lossy {
+			if address == firstAddress {
 				return link.dial(ctx, address)
 			}
 			return new(net.Dialer).DialContext(ctx, "tcp", address)
 		}
 		ingressNode = node.New(node.Options{
-			ID: "ingress", Zone: "a", Callers: callersAt, Mesh: listen(), Admin: listen(), Members: []string{"127.0.0.1:9"},
+			ID: "ingress", Zone: "a", Callers: callersListener, Mesh: listen(), Admin: listen(), Members: []string{"127.0.0.1:9"},
 			Keys: bundle.NewKeyring(nil), Logger: zerolog.Nop(), NoHedging: true, CallDialer: dial,
 		})
 		ingressNode.Start()
 		DeferCleanup(ingressNode.Kill)
 		Expect(ingressNode.PutInForce(bundle.Approval{Version: 1}, testBundle())).To(Succeed())
-		ingress = callersAt.Addr().String()
-		for i, runs := range []*atomic.Int64{&silentRuns, &otherRuns} {
+		ingress = callersListener.Addr().String()
+		for i, runs := range []*atomic.Int64{&firstRuns, &secondRuns} {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				runs.Add(1)
-				if r.URL.Query().Get("hold") != "" && runs == &silentRuns {
+				if r.URL.Query().Get("hold") != "" && runs == &firstRuns {
 					<-release
 				}
 				fmt.Fprint(w, "ok")
@@ -133,25 +133,25 @@
 				Expect(executor.AcceptUpstream(node.Announcement{
 					Service: "desk", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 4,
 				})).To(Succeed())
-				Eventually(func() bool { _, ok := executor.OwnRecord(); return ok }, patience).Should(BeTrue())
+				Eventually(func() bool { _, ok := executor.OwnRecord(); return ok }, eventuallyTimeout).Should(BeTrue())
 				record, _ := executor.OwnRecord()
-				Expect(ingressNode.Learn(record)).To(Succeed())
+				Expect(ingressNode.MergeEndpoint(record)).To(Succeed())
 				return executor
 			}
 			mesh := listen()
 			executor := start(mesh)
 			if i == 0 {
-				lossy = mesh.Addr().String()
+				firstAddress = mesh.Addr().String()
 				restart = func() {
 					executor.Kill()
-					again, err := net.Listen("tcp", lossy)
+					listener, err := net.Listen("tcp", firstAddress)
 					Expect(err).NotTo(HaveOccurred())
-					start(again)
+					start(listener)
 				}
 			}
 		}
 		DeferCleanup(func() { close(release) })
-		for silentRuns.Load() == 0 || otherRuns.Load() == 0 {
+		for firstRuns.Load() == 0 || secondRuns.Load() == 0 {
 			lookup("")
 		}
 	})
@@ -159,44 +159,44 @@
 	// Guards against lookups that wait for their whole deadline (15 s here) for an instance that has lost power, and against
 	// further ones that are sent there.
 	It("loses its lookups to another instance within two seconds, and gets calls again once it answers", func() {
-		held := make(chan time.Duration, 40)
-		before := silentRuns.Load()
+		durations := make(chan time.Duration, 40)
+		before := firstRuns.Load()
 		sent := 0
-		for silentRuns.Load() == before {
+		for firstRuns.Load() == before {
 			sent++
 			go func() {
 				defer GinkgoRecover()
-				held <- lookup("?hold=1")
+				durations <- lookup("?hold=1")
 			}()
 			time.Sleep(20 * time.Millisecond)
 		}
-		link.silent.Store(true)
+		link.dropping.Store(true)
 		for range sent {
 			var took time.Duration
-			Eventually(held, patience).Should(Receive(&took))
+			Eventually(durations, eventuallyTimeout).Should(Receive(&took))
 			Expect(took).To(BeNumerically("<", 2*time.Second))
 		}
-		before = silentRuns.Load()
+		before = firstRuns.Load()
 		for range 20 {
 			Expect(lookup("")).To(BeNumerically("<", time.Second))
 		}
-		Expect(silentRuns.Load()).To(Equal(before))
+		Expect(firstRuns.Load()).To(Equal(before))
 
-		link.silent.Store(false)
+		link.dropping.Store(false)
 		Eventually(func() int64 {
 			lookup("")
-			return silentRuns.Load()
+			return firstRuns.Load()
 		}, 3*time.Second).Should(BeNumerically(">", before))
 	})
 
 	// Guards against calls to an instance that has started again which go out on the connection to its former process.
 	It("gets calls on a new connection after it has started again", func() {
-		link.silent.Store(true)
+		link.dropping.Store(true)
 		Expect(lookup("")).To(BeNumerically("<", 2*time.Second))
 		restart()
-		link.silent.Store(false)
-		before := silentRuns.Load()
-		for silentRuns.Load() == before {
+		link.dropping.Store(false)
+		before := firstRuns.Load()
+		for firstRuns.Load() == before {
 			Expect(lookup("")).To(BeNumerically("<", 300*time.Millisecond))
 		}
 	})
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -14,26 +14,26 @@
 
 // Bounds of the histogram of added latency.
 const (
-	maxAddedMicros = int64(time.Minute / time.Microsecond)
-	addedDigits    = 2
+	maxAddedMicros         = int64(time.Minute / time.Microsecond)
+	addedSignificantDigits = 2
 )
 
 // metrics are the counters and histograms of one node; docs/observability.md describes each.
 type metrics struct {
 	registry *telemetry.Registry
 
-	requestTime     *prometheus.HistogramVec
-	refusals        *prometheus.CounterVec
-	addedTime       prometheus.Histogram
-	retries         prometheus.Counter
-	hedges          prometheus.Counter
-	cutAnswers      prometheus.Counter
-	waitTime        prometheus.Histogram
-	shed            *prometheus.CounterVec
-	upstreamTime    prometheus.Histogram
-	upstreamCrashes prometheus.Counter
-	activations     prometheus.Counter
-	linesDropped    prometheus.Counter
+	requestTime        *prometheus.HistogramVec
+	refusedRequests    *prometheus.CounterVec
+	addedTime          prometheus.Histogram
+	retries            prometheus.Counter
+	hedges             prometheus.Counter
+	truncatedResponses prometheus.Counter
+	waitTime           prometheus.Histogram
+	refusedCalls       *prometheus.CounterVec
+	upstreamTime       prometheus.Histogram
+	upstreamCrashes    prometheus.Counter
+	activations        prometheus.Counter
+	linesDropped       prometheus.Counter
 
 	// added gives exact quantiles for the dump; those of a scraper's buckets are a factor of two apart.
 	mu    sync.Mutex
@@ -46,20 +46,20 @@
 		registry: r,
 		requestTime: r.Latencies("request_seconds", "Time from a request's header to its answer, by its end.",
 			"class", "outcome"),
-		refusals:  r.Counters("requests_refused_total", "Requests that the node did not let in.", "reason"),
-		addedTime: r.Latency("added_seconds", "Time of a request in sapphiregate's processes; waits for a slot count."),
-		retries:   r.Counter("retries_total", "Attempts after the first one."),
-		hedges:    r.Counter("hedges_total", "Attempts beside a first one that showed no sign of life."),
-		cutAnswers: r.Counter("cut_answers_total",
+		refusedRequests: r.Counters("requests_refused_total", "Requests that the node did not let in.", "reason"),
+		addedTime:       r.Latency("added_seconds", "Time of a request in sapphiregate's processes; waits for a slot count."),
+		retries:         r.Counter("retries_total", "Attempts after the first one."),
+		hedges:          r.Counter("hedges_total", "Attempts beside a first one that showed no sign of life."),
+		truncatedResponses: r.Counter("cut_answers_total",
 			"Streamed answers that an upstream cut; the caller's connection was aborted."),
-		waitTime: r.Latency("upstream_wait_seconds", "Time for which a call waited for a slot of the upstream beside the node."),
-		shed:     r.Counters("upstream_refusals_total", "Calls that got no slot of the upstream beside the node.", "reason"),
+		waitTime:     r.Latency("upstream_wait_seconds", "Time for which a call waited for a slot of the upstream beside the node."),
+		refusedCalls: r.Counters("upstream_refusals_total", "Calls that got no slot of the upstream beside the node.", "reason"),
 		upstreamTime: r.Latency("upstream_seconds",
 			"Time from a request written to the upstream beside the node to its answer."),
 		upstreamCrashes: r.Counter("upstream_crashes_total", "Crashes of the upstream beside the node."),
 		activations:     r.Counter("activations_total", "Versions put into force."),
 		linesDropped:    r.Counter("log_lines_dropped_total", "Lines about requests beyond the bound of the log."),
-		added:           hdrhistogram.New(1, maxAddedMicros, addedDigits),
+		added:           hdrhistogram.New(1, maxAddedMicros, addedSignificantDigits),
 	}
 }
 
@@ -77,8 +77,8 @@
 		load(func(l protocol.LoadReport) int { return l.Queued }))
 }
 
-func (m *metrics) ended(class bundle.Class, outcome protocol.Outcome, took time.Duration) {
-	m.requestTime.WithLabelValues(string(class), string(outcome)).Observe(took.Seconds())
+func (m *metrics) observeRequest(class bundle.Class, outcome protocol.Outcome, elapsed time.Duration) {
+	m.requestTime.WithLabelValues(string(class), string(outcome)).Observe(elapsed.Seconds())
 }
 
 func (m *metrics) observeAdded(added time.Duration) {
--- a/node/node.go
+++ b/node/node.go
@@ -109,9 +109,9 @@
 	readHeaderTimeout = 10 * time.Second
 	callerIdleTimeout = 2 * time.Minute
 	// departureTime lets the announcement of a leaving node spread before it closes its listener.
-	departureTime = 300 * time.Millisecond
+	drainAnnouncementTime = 300 * time.Millisecond
 	// lingerTime lets callers notice that this node leaves before it closes their connections.
-	lingerTime = 500 * time.Millisecond
+	connectionCloseTime = 500 * time.Millisecond
 )
 
 // Node is one running node.
@@ -127,10 +127,10 @@
 	balancer   *balance.Balancer
 	quarantine *quarantine.List
 	snapshot   atomic.Pointer[snapshot]
-	gate       gate
+	requests   requestTracker
 	requestLog *requestLog
 	// leaving tells callers to close their connections.
-	leaving atomic.Bool
+	closeConnections atomic.Bool
 	// stopping makes the node not ready.
 	stopping atomic.Bool
 	metrics  *metrics
@@ -152,9 +152,9 @@
 
 	// The fields below belong to the control goroutine. changedIDs and refreshAll are what the balancer has not been
 	// told yet.
-	changedIDs map[string]bool
-	refreshAll bool
-	seen       map[string]seenEndpoint
+	changedIDs     map[string]bool
+	refreshAll     bool
+	knownEndpoints map[string]knownEndpoint
 }
 
 // New prepares a node with empty memory.
@@ -168,25 +168,25 @@
 		options.Dialect = protocol.DefaultDialect
 	}
 	n := &Node{
-		gate:        gate{limit: options.Limits.MaxCalls},
-		options:     options,
-		id:          options.ID,
-		incarnation: uint64(now.UnixNano()),
-		logger:      logging.Part(options.Logger, "node"),
-		metrics:     newMetrics(),
-		changedIDs:  make(map[string]bool),
-		seen:        make(map[string]seenEndpoint),
+		requests:       requestTracker{limit: options.Limits.MaxCalls},
+		options:        options,
+		id:             options.ID,
+		incarnation:    uint64(now.UnixNano()),
+		logger:         logging.Part(options.Logger, "node"),
+		metrics:        newMetrics(),
+		changedIDs:     make(map[string]bool),
+		knownEndpoints: make(map[string]knownEndpoint),
 	}
 	n.requestLog = newRequestLog(n.logger, n.metrics.linesDropped)
 	n.metrics.observeState(n)
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.connect()
+	n.createTransports()
 	n.balancer = balance.New(balance.Config{Policy: options.Policy, Zone: options.Zone, ZoneDelay: options.zoneDelay})
 	n.quarantine = quarantine.New(quarantine.Config{ID: n.id, Incarnation: n.incarnation})
 	n.executor = n.newExecutor()
 	n.liveness = &liveness{
 		balancer: n.balancer, calls: n.calls, probes: n.probes, zoneDelay: options.zoneDelay, logger: n.logger,
-		instances: make(map[string]*instance),
+		instances: make(map[string]*remoteInstance),
 	}
 	n.peer = relay.New(clock.Now(), n.relayConfig())
 	n.control = mesh.NewHost(mesh.Options{
@@ -202,7 +202,7 @@
 	return n
 }
 
-func (n *Node) connect() {
+func (n *Node) createTransports() {
 	var transport credentials.TransportCredentials
 	if n.options.Identity != nil {
 		transport = n.options.Identity.Credentials()
@@ -230,7 +230,7 @@
 // Start begins to serve. Callers get "not ready" answers until a version is in force.
 func (n *Node) Start() {
 	n.tasks.Go(func() { n.control.Run(n.ctx) })
-	n.tasks.Go(n.executor.watch)
+	n.tasks.Go(n.executor.monitorUpstream)
 	n.serve("mesh", n.mesh.Serve)
 	n.serve("callers", func() error { return n.callers.Serve(n.options.Callers) })
 	n.serve("admin", func() error { return n.admin.Serve(n.options.Admin) })
@@ -252,24 +252,24 @@
 // taken even if the one before it gave up, and the records come last: an unreachable ledger must not cut off requests.
 func (n *Node) Stop(ctx context.Context) error {
 	n.stopping.Store(true)
-	n.executor.leave()
-	noticed := time.Now().Add(n.options.Limits.LeaveNotice)
-	sleep(ctx, departureTime)
+	n.executor.drainForStop()
+	noticeEnd := time.Now().Add(n.options.Limits.LeaveNotice)
+	sleep(ctx, drainAnnouncementTime)
 	// Closing an idle connection can meet a request that is already on its way, so callers close theirs first.
-	n.leaving.Store(true)
-	err := n.executor.idle(ctx)
-	sleep(ctx, max(lingerTime, time.Until(noticed)))
-	err = errors.CombineErrors(err, n.gate.drain(ctx))
+	n.closeConnections.Store(true)
+	err := n.executor.waitIdle(ctx)
+	sleep(ctx, max(connectionCloseTime, time.Until(noticeEnd)))
+	err = errors.CombineErrors(err, n.requests.drain(ctx))
 	err = errors.CombineErrors(err, n.callers.Shutdown(ctx))
 	err = errors.CombineErrors(err, n.executor.background.wait(ctx))
-	n.mesh.GracefulStop(shortly(ctx))
+	n.mesh.GracefulStop(withFollowStopTimeout(ctx))
 	n.Kill()
 	return errors.Wrap(err, "node: stop gave up on calls or on records of their answers")
 }
 
 // shortly bounds the wait for Follow streams of children, which do not end by themselves.
-func shortly(ctx context.Context) context.Context {
-	bounded, cancel := context.WithTimeout(ctx, departureTime)
+func withFollowStopTimeout(ctx context.Context) context.Context {
+	bounded, cancel := context.WithTimeout(ctx, drainAnnouncementTime)
 	context.AfterFunc(bounded, cancel)
 	return bounded
 }
@@ -299,7 +299,7 @@
 
 // AcceptUpstream takes an announcement from settings, for an upstream that does not announce itself.
 func (n *Node) AcceptUpstream(announcement Announcement) error {
-	return n.executor.accept(announcement)
+	return n.executor.acceptAnnouncement(announcement)
 }
 
 // SetJoin replaces the addresses by which the node finds the group.
--- a/node/exchange.go
+++ b/node/reply.go
@@ -10,7 +10,7 @@
 // requestBody is the body of a call: buffered whole, or a buffered start with more to stream.
 type requestBody struct {
 	// start holds the whole body unless rest is set.
-	start []byte
+	prefix []byte
 	// rest yields what follows start; nil for a body that is buffered whole.
 	rest io.Reader
 	// trailer is complete once rest is read to its end.
@@ -18,7 +18,7 @@
 }
 
 // whole reports whether the body is buffered, so that the call can be sent again.
-func (b *requestBody) whole() bool { return b.rest == nil }
+func (b *requestBody) buffered() bool { return b.rest == nil }
 
 // replyStream yields the rest of a long answer in frames; the last one is marked.
 type replyStream interface {
@@ -30,20 +30,20 @@
 }
 
 // reply is an executor's answer to one call.
-type reply struct {
-	head protocol.ReplyMetadata
+type callReply struct {
+	metadata protocol.ReplyMetadata
 	// body is the whole body, or its start if stream is set.
 	body    []byte
 	trailer http.Header
 	stream  replyStream
 	// done is called once the answer has been passed on or given up.
-	done func()
+	onFinish func()
 }
 
 // afterwards adds what is to be done once the answer has been passed on or given up.
-func (r *reply) afterwards(do func()) *reply {
-	previous := r.done
-	r.done = func() {
+func (r *callReply) addOnFinish(do func()) *callReply {
+	previous := r.onFinish
+	r.onFinish = func() {
 		do()
 		if previous != nil {
 			previous()
@@ -52,26 +52,26 @@
 	return r
 }
 
-func (r *reply) finish() {
+func (r *callReply) finish() {
 	if r.stream != nil {
 		r.stream.Close()
 	}
-	if r.done != nil {
-		r.done()
+	if r.onFinish != nil {
+		r.onFinish()
 	}
 }
 
 // failedByUpstream reports whether the answer says that the upstream ran the call and failed.
-func (r *reply) failedByUpstream() bool {
-	return r.head.Outcome == protocol.OutcomeDone && r.head.Status >= http.StatusInternalServerError
+func (r *callReply) failedByUpstream() bool {
+	return r.metadata.Outcome == protocol.OutcomeDone && r.metadata.Status >= http.StatusInternalServerError
 }
 
 // refusal is the reply to a call that was not run.
-func refusal(reason protocol.Reason) *reply {
-	return &reply{head: protocol.ReplyMetadata{Outcome: protocol.OutcomeNotRun, Reason: reason}}
+func notRunReply(reason protocol.Reason) *callReply {
+	return &callReply{metadata: protocol.ReplyMetadata{Outcome: protocol.OutcomeNotRun, Reason: reason}}
 }
 
 // uncertain is the reply to a call that may have run.
-func uncertain(reason protocol.Reason) *reply {
-	return &reply{head: protocol.ReplyMetadata{Outcome: protocol.OutcomeUnknown, Reason: reason}}
+func unknownReply(reason protocol.Reason) *callReply {
+	return &callReply{metadata: protocol.ReplyMetadata{Outcome: protocol.OutcomeUnknown, Reason: reason}}
 }
--- a/node/gate.go
+++ b/node/request_tracker.go
@@ -8,53 +8,53 @@
 )
 
 // gate counts the callers' requests in this process, so that a stop can wait for them.
-type gate struct {
+type requestTracker struct {
 	// limit bounds the requests inside.
 	limit int
 
-	mu     sync.Mutex
-	closed bool
-	count  int
-	empty  chan struct{}
+	mu       sync.Mutex
+	closed   bool
+	inFlight int
+	idle     chan struct{}
 }
 
 // enter lets a request in, or says why not. The caller must call leave at the end of a request that was let in.
-func (g *gate) enter() protocol.Reason {
+func (g *requestTracker) admit() protocol.Reason {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
 	case g.closed:
 		return protocol.ReasonDraining
-	case g.count >= g.limit:
+	case g.inFlight >= g.limit:
 		return protocol.ReasonShed
 	}
-	g.count++
+	g.inFlight++
 	return protocol.ReasonNone
 }
 
-func (g *gate) leave() {
+func (g *requestTracker) done() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.count--
-	if g.closed && g.count == 0 {
-		close(g.empty)
+	g.inFlight--
+	if g.closed && g.inFlight == 0 {
+		close(g.idle)
 	}
 }
 
 // drain closes the gate and waits until nobody is inside.
-func (g *gate) drain(ctx context.Context) error {
+func (g *requestTracker) drain(ctx context.Context) error {
 	g.mu.Lock()
 	if !g.closed {
 		g.closed = true
-		g.empty = make(chan struct{})
-		if g.count == 0 {
-			close(g.empty)
+		g.idle = make(chan struct{})
+		if g.inFlight == 0 {
+			close(g.idle)
 		}
 	}
-	empty := g.empty
+	idle := g.idle
 	g.mu.Unlock()
 	select {
-	case <-empty:
+	case <-idle:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/node/requestlog.go
+++ b/node/requestlog.go
@@ -31,41 +31,41 @@
 // decided, by what, and how old that was.
 type requestLog struct {
 	logger   zerolog.Logger
-	failures boundedLines
-	samples  boundedLines
+	failures rateLimitedLines
+	samples  rateLimitedLines
 }
 
 func newRequestLog(logger zerolog.Logger, dropped prometheus.Counter) *requestLog {
 	return &requestLog{
 		logger:   logger,
-		failures: boundedLines{limiter: rate.NewLimiter(failureRate, failureBurst), total: dropped},
-		samples:  boundedLines{limiter: rate.NewLimiter(sampleRate, sampleBurst)},
+		failures: rateLimitedLines{limiter: rate.NewLimiter(failureRate, failureBurst), droppedTotal: dropped},
+		samples:  rateLimitedLines{limiter: rate.NewLimiter(sampleRate, sampleBurst)},
 	}
 }
 
 // boundedLines bounds the rate of one kind of lines.
-type boundedLines struct {
+type rateLimitedLines struct {
 	limiter *rate.Limiter
 	// total counts the lines that were left out; nil if they are not worth counting.
-	total prometheus.Counter
+	droppedTotal prometheus.Counter
 
 	mu      sync.Mutex
 	dropped int
 }
 
 // line returns an event that says how many lines were left out before it, or nil if there is no room for another one.
-func (b *boundedLines) line(logger zerolog.Logger) *zerolog.Event {
+func (b *rateLimitedLines) event(logger zerolog.Logger) *zerolog.Event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.limiter.Allow() {
 		b.dropped++
-		if b.total != nil {
-			b.total.Inc()
+		if b.droppedTotal != nil {
+			b.droppedTotal.Inc()
 		}
 		return nil
 	}
 	event := logger.Info()
-	if b.dropped > 0 && b.total != nil {
+	if b.dropped > 0 && b.droppedTotal != nil {
 		event.Int("lines_dropped", b.dropped)
 	}
 	b.dropped = 0
@@ -73,13 +73,13 @@
 }
 
 // about returns an event for a decision about a request, or nil if it is not logged. All processes sample the same requests.
-func (l *requestLog) about(request string, failed bool) *zerolog.Event {
+func (l *requestLog) event(request string, failed bool) *zerolog.Event {
 	var event *zerolog.Event
 	switch {
 	case failed:
-		event = l.failures.line(l.logger)
+		event = l.failures.event(l.logger)
 	case request != "" && xxhash.Sum64String(request)%sampleShare == 0:
-		event = l.samples.line(l.logger)
+		event = l.samples.event(l.logger)
 	}
 	if event == nil {
 		return nil
@@ -88,10 +88,10 @@
 }
 
 // ended reports the end of a request at the node that took it in.
-func (l *requestLog) ended(c *ingressCall, answer *reply) {
-	head := &answer.head
-	failed := head.Outcome != protocol.OutcomeDone || answer.failedByUpstream()
-	event := l.about(requestID(&c.head), failed)
+func (l *requestLog) requestEnded(c *ingressCall, reply *callReply) {
+	meta := &reply.metadata
+	failed := meta.Outcome != protocol.OutcomeDone || reply.failedByUpstream()
+	event := l.event(requestID(&c.metadata), failed)
 	if event == nil {
 		return
 	}
@@ -100,18 +100,18 @@
 		message = logging.RequestFailed
 	}
 	now := time.Now()
-	event.Str("route", c.route.Name).Str("service", c.head.Service).
-		Str("outcome", string(head.Outcome)).Str("reason", string(head.Reason)).Int("upstream_status", head.Status).
+	event.Str("route", c.route.Name).Str("service", c.metadata.Service).
+		Str("outcome", string(meta.Outcome)).Str("reason", string(meta.Reason)).Int("upstream_status", meta.Status).
 		Strs("tried", c.tried).Int64("took_ms", now.Sub(c.started).Milliseconds()).
 		Int64("left_ms", c.deadline.Sub(now).Milliseconds()).
 		Uint64("version", c.snapshot.version).Int64("version_age_ms", now.Sub(c.snapshot.since).Milliseconds()).
-		Int("slots", head.Load.Slots).Int("running", head.Load.InFlight).Int("waiting", head.Load.Queued).
+		Int("slots", meta.Load.Slots).Int("running", meta.Load.InFlight).Int("waiting", meta.Load.Queued).
 		Msg(message)
 }
 
 // refused reports a request that was not let in.
-func (l *requestLog) refused(r *http.Request, n *Node, reason protocol.Reason) {
-	event := l.about(r.Header.Get(n.options.Dialect.RequestID), true)
+func (l *requestLog) requestRefused(r *http.Request, n *Node, reason protocol.Reason) {
+	event := l.event(r.Header.Get(n.options.Dialect.RequestID), true)
 	if event == nil {
 		return
 	}
@@ -121,41 +121,41 @@
 }
 
 // repeated reports that an attempt failed and another one follows.
-func (l *requestLog) repeated(c *ingressCall, failed *reply, instance string, pause time.Duration) {
-	event := l.about(requestID(&c.head), true)
+func (l *requestLog) attemptFailed(c *ingressCall, failed *callReply, instance string, pause time.Duration) {
+	event := l.event(requestID(&c.metadata), true)
 	if event == nil {
 		return
 	}
-	event.Str("route", c.route.Name).Str("service", c.head.Service).Str("tried_instance", instance).
-		Str("outcome", string(failed.head.Outcome)).Str("reason", string(failed.head.Reason)).
-		Int("upstream_status", failed.head.Status).Int64("pause_ms", pause.Milliseconds()).
+	event.Str("route", c.route.Name).Str("service", c.metadata.Service).Str("tried_instance", instance).
+		Str("outcome", string(failed.metadata.Outcome)).Str("reason", string(failed.metadata.Reason)).
+		Int("upstream_status", failed.metadata.Status).Int64("pause_ms", pause.Milliseconds()).
 		Int64("left_ms", time.Until(c.deadline).Milliseconds()).
 		Msg(logging.AttemptFailed)
 }
 
 // call reports the end of a call at the node beside the upstream. waited is the time until it had a slot or was refused.
-func (l *requestLog) call(head *protocol.CallMetadata, answer *reply, waited time.Duration) {
-	failed := answer.head.Outcome != protocol.OutcomeDone || answer.failedByUpstream()
-	event := l.about(requestID(head), failed)
+func (l *requestLog) callEnded(meta *protocol.CallMetadata, reply *callReply, waited time.Duration) {
+	failed := reply.metadata.Outcome != protocol.OutcomeDone || reply.failedByUpstream()
+	event := l.event(requestID(meta), failed)
 	if event == nil {
 		return
 	}
 	message := logging.CallAnswered
 	switch {
-	case answer.head.Outcome == protocol.OutcomeNotRun:
+	case reply.metadata.Outcome == protocol.OutcomeNotRun:
 		message = logging.CallRefused
 	case failed:
 		message = logging.CallFailed
 	}
-	load := answer.head.Load
-	event.Str("route", head.Route).Str("service", head.Service).
-		Str("outcome", string(answer.head.Outcome)).Str("reason", string(answer.head.Reason)).
-		Int("upstream_status", answer.head.Status).Int64("waited_ms", waited.Milliseconds()).
-		Int64("upstream_ms", answer.head.Upstream.Milliseconds()).Int64("given_ms", head.Remaining.Milliseconds()).
-		Int64("patience_ms", head.TargetRemaining.Milliseconds()).Int("priority", head.Priority).Uint64("version", head.Version).
+	load := reply.metadata.Load
+	event.Str("route", meta.Route).Str("service", meta.Service).
+		Str("outcome", string(reply.metadata.Outcome)).Str("reason", string(reply.metadata.Reason)).
+		Int("upstream_status", reply.metadata.Status).Int64("waited_ms", waited.Milliseconds()).
+		Int64("upstream_ms", reply.metadata.Upstream.Milliseconds()).Int64("given_ms", meta.Remaining.Milliseconds()).
+		Int64("patience_ms", meta.TargetRemaining.Milliseconds()).Int("priority", meta.Priority).Uint64("version", meta.Version).
 		Int("slots", load.Slots).Int("running", load.InFlight).Int("waiting", load.Queued).
 		Msg(message)
 }
 
 // requestID returns the caller's name for the request, or its idempotency key.
-func requestID(head *protocol.CallMetadata) string { return cmp.Or(head.RequestID, head.Key) }
+func requestID(meta *protocol.CallMetadata) string { return cmp.Or(meta.RequestID, meta.Key) }
--- a/node/requestlog_test.go
+++ b/node/requestlog_test.go
@@ -21,19 +21,19 @@
 )
 
 // lines collects the log of a node.
-type lines struct {
+type logBuffer struct {
 	mu   sync.Mutex
 	data bytes.Buffer
 }
 
-func (l *lines) Write(data []byte) (int, error) {
+func (l *logBuffer) Write(data []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.data.Write(data)
 }
 
 // about returns the lines about a request, or about any request.
-func (l *lines) about(request string) []map[string]any {
+func (l *logBuffer) linesAbout(request string) []map[string]any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []map[string]any
@@ -67,18 +67,18 @@
 }
 
 var _ = Describe("the log about requests", func() {
-	var log *lines
+	var logs *logBuffer
 	var admin net.Addr
 	start := func(handler http.HandlerFunc) string {
-		log = &lines{}
-		n, callers, upstream := foreignNode(handler, func(options *node.Options) {
-			options.Logger, admin = zerolog.New(log), options.Admin.Addr()
+		logs = &logBuffer{}
+		n, callers, upstream := startCustomDialectNode(handler, func(options *node.Options) {
+			options.Logger, admin = zerolog.New(logs), options.Admin.Addr()
 		})
-		Expect(beat(n, upstream, "u1", 1, 1, false)).To(Succeed())
-		learn(n)
+		Expect(sendHeartbeat(n, upstream, "u1", 1, 1, false)).To(Succeed())
+		learnOwnRecord(n)
 		return callers
 	}
-	genuine := func(w http.ResponseWriter, r *http.Request) {
+	respondValid := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Request", r.Header.Get("X-Request"))
 		w.Header().Set("X-Proof", "1")
 	}
@@ -87,10 +87,10 @@
 	// that it tried, and that instance's log says what happened there.
 	It("tells at both nodes why a request failed", func() {
 		callers := start(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-		_, err := call(callers, "/promote", "r1")
+		_, err := sendRequest(callers, "/promote", "r1")
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(func() int { return len(log.about("r1")) }, patience).Should(Equal(2))
-		found := log.about("r1")
+		Eventually(func() int { return len(logs.linesAbout("r1")) }, eventuallyTimeout).Should(Equal(2))
+		found := logs.linesAbout("r1")
 		Expect(found[0]).To(HaveKeyWithValue("message", "call failed"))
 		Expect(found[0]).To(HaveKeyWithValue("reason", string(protocol.ReasonUpstreamFailed)))
 		Expect(found[1]).To(HaveKeyWithValue("message", "request failed"))
@@ -105,19 +105,19 @@
 		release := make(chan struct{})
 		callers := start(func(w http.ResponseWriter, r *http.Request) {
 			<-release
-			genuine(w, r)
+			respondValid(w, r)
 		})
 		var running sync.WaitGroup
 		for i := range 4 {
 			running.Go(func() {
 				defer GinkgoRecover()
-				_, err := call(callers, "/lookup", fmt.Sprintf("held-%d", i))
+				_, err := sendRequest(callers, "/lookup", fmt.Sprintf("held-%d", i))
 				Expect(err).NotTo(HaveOccurred())
 			})
 		}
 		DeferCleanup(running.Wait)
 		DeferCleanup(func() { close(release) })
-		Eventually(func() float64 { return metric(admin, "sapphiregate_upstream_running") }, patience).Should(Equal(4.0))
+		Eventually(func() float64 { return metric(admin, "sapphiregate_upstream_running") }, eventuallyTimeout).Should(Equal(4.0))
 		request, err := http.NewRequest(http.MethodGet, "http://"+callers+"/lookup", nil)
 		Expect(err).NotTo(HaveOccurred())
 		request.Header.Set("X-Request", "late")
@@ -125,8 +125,8 @@
 		response, err := http.DefaultClient.Do(request)
 		Expect(err).NotTo(HaveOccurred())
 		response.Body.Close()
-		Eventually(func() int { return len(log.about("late")) }, patience).Should(BeNumerically(">=", 2))
-		found := log.about("late")[0]
+		Eventually(func() int { return len(logs.linesAbout("late")) }, eventuallyTimeout).Should(BeNumerically(">=", 2))
+		found := logs.linesAbout("late")[0]
 		Expect(found).To(HaveKeyWithValue("message", "call refused"))
 		Expect(found).To(HaveKeyWithValue("slots", BeEquivalentTo(4)))
 		Expect(found).To(HaveKeyWithValue("running", BeEquivalentTo(4)))
@@ -139,11 +139,11 @@
 		const requests = 600
 		started := time.Now()
 		for i := range requests {
-			_, err := call(callers, "/promote", fmt.Sprintf("r%d", i))
+			_, err := sendRequest(callers, "/promote", fmt.Sprintf("r%d", i))
 			Expect(err).NotTo(HaveOccurred())
 		}
 		bound := 2 * (100 + 20*(time.Since(started).Seconds()+1))
-		written := len(log.about(""))
+		written := len(logs.linesAbout(""))
 		Expect(written).To(BeNumerically("<=", bound))
 		Expect(metric(admin, "sapphiregate_log_lines_dropped_total")).To(BeEquivalentTo(2*requests - written))
 		Expect(metric(admin, `sapphiregate_request_seconds_count{class="irreversible",outcome="unknown"}`)).
@@ -152,12 +152,12 @@
 
 	// Guards against a failed request without a good one to compare it with.
 	It("follows a sample of the requests that succeed at both nodes", func() {
-		callers := start(genuine)
+		callers := start(respondValid)
 		for i := range 300 {
-			_, err := call(callers, "/lookup", fmt.Sprintf("r%d", i))
+			_, err := sendRequest(callers, "/lookup", fmt.Sprintf("r%d", i))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		found := log.about("")
+		found := logs.linesAbout("")
 		Expect(found).NotTo(BeEmpty())
 		messages := make(map[any]int)
 		for _, line := range found {
--- a/node/answer.go
+++ b/node/response.go
@@ -23,7 +23,7 @@
 const outcomeTimeout = 2 * time.Second
 
 // refusalStatus maps reasons of requests that were not run to HTTP status codes; others get 503.
-var refusalStatus = map[protocol.Reason]int{
+var refusalStatusCodes = map[protocol.Reason]int{
 	protocol.ReasonNoRoute:    http.StatusNotFound,
 	protocol.ReasonShed:       http.StatusTooManyRequests,
 	protocol.ReasonCallLimit:  http.StatusTooManyRequests,
@@ -35,7 +35,7 @@
 }
 
 // advice tells a caller what to do.
-var advice = map[protocol.Reason]string{
+var reasonTexts = map[protocol.Reason]string{
 	protocol.ReasonNoRoute:     "no route of the configuration in force matches this request",
 	protocol.ReasonNotReady:    "this node has no configuration yet; try another node",
 	protocol.ReasonNoUpstream:  "no upstream of the service takes calls; try again later",
@@ -55,57 +55,57 @@
 // refuse answers a request that this node did not let in. A request with an idempotency key may have run at an earlier
 // attempt, so the ledger is asked before the caller is told that it was not run.
 func (n *Node) refuse(w http.ResponseWriter, r *http.Request, reason protocol.Reason) {
-	n.metrics.refusals.WithLabelValues(string(reason)).Inc()
-	n.requestLog.refused(r, n, reason)
+	n.metrics.refusedRequests.WithLabelValues(string(reason)).Inc()
+	n.requestLog.requestRefused(r, n, reason)
 	key := r.Header.Get(protocol.HeaderKey)
 	if key == "" || len(key) > maxKeyBytes {
-		n.writeVerdict(w, protocol.OutcomeNotRun, reason, refusalCode(reason), protocol.LoadReport{})
+		n.writeOutcome(w, protocol.OutcomeNotRun, reason, refusalStatusCode(reason), protocol.LoadReport{})
 		return
 	}
-	answer := n.confirmNotRun(r.Context(), ledger.Query{Key: key}, reason)
-	if answer.head.Outcome == protocol.OutcomeUnknown {
+	reply := n.lookUpOutcome(r.Context(), ledger.Query{Key: key}, reason)
+	if reply.metadata.Outcome == protocol.OutcomeUnknown {
 		w.Header().Set(protocol.HeaderOutcomeURL, outcomeURL(key))
 	}
-	if answer.head.Outcome == protocol.OutcomeDone {
-		writeRecorded(w, answer)
+	if reply.metadata.Outcome == protocol.OutcomeDone {
+		writeRecordedResponse(w, reply)
 		return
 	}
-	n.writeVerdict(w, answer.head.Outcome, answer.head.Reason, refusalCode(reason), protocol.LoadReport{})
+	n.writeOutcome(w, reply.metadata.Outcome, reply.metadata.Reason, refusalStatusCode(reason), protocol.LoadReport{})
 }
 
 // confirm asks the ledger before an irreversible call is reported as not run: an earlier attempt of the caller under
 // the same key may have run.
-func (c *ingressCall) confirm(ctx context.Context, answer *reply) *reply {
-	if c.head.Key == "" || answer.head.Outcome != protocol.OutcomeNotRun ||
-		answer.head.Reason == protocol.ReasonKeyReused {
-		return answer
+func (c *ingressCall) confirmNotRun(ctx context.Context, reply *callReply) *callReply {
+	if c.metadata.Key == "" || reply.metadata.Outcome != protocol.OutcomeNotRun ||
+		reply.metadata.Reason == protocol.ReasonKeyReused {
+		return reply
 	}
-	answer.finish()
-	query := ledger.Query{Key: c.head.Key, Route: c.head.Route, RequestDigest: c.head.RequestDigest}
-	return c.node.confirmNotRun(context.WithoutCancel(ctx), query, answer.head.Reason)
+	reply.finish()
+	query := ledger.Query{Key: c.metadata.Key, Route: c.metadata.Route, RequestDigest: c.metadata.RequestDigest}
+	return c.node.lookUpOutcome(context.WithoutCancel(ctx), query, reply.metadata.Reason)
 }
 
 // confirmNotRun turns a refusal into what the ledger knows: the recorded answer, "unknown" if an attempt holds the claim
 // or the ledger cannot be asked, or "not run". An attempt that still waits elsewhere without a claim is not seen; it
 // ends with its caller's connection or its deadline.
-func (n *Node) confirmNotRun(ctx context.Context, query ledger.Query, reason protocol.Reason) *reply {
+func (n *Node) lookUpOutcome(ctx context.Context, query ledger.Query, reason protocol.Reason) *callReply {
 	ctx, cancel := context.WithTimeout(ctx, outcomeTimeout)
 	defer cancel()
-	result, err := n.executor.ledger.do(ctx, query.Key, ledger.Command{Query: &query})
+	result, err := n.executor.ledger.commit(ctx, query.Key, ledger.Command{Query: &query})
 	if err != nil {
-		return uncertain(protocol.ReasonLedger)
+		return unknownReply(protocol.ReasonLedger)
 	}
 	switch result.Status {
 	case ledger.Absent, ledger.Released:
-		return refusal(reason)
+		return notRunReply(reason)
 	case ledger.Done:
-		return answerReply(result.Response)
+		return recordedReply(result.Response)
 	case ledger.KeyReused:
-		return refusal(protocol.ReasonKeyReused)
+		return notRunReply(protocol.ReasonKeyReused)
 	case ledger.Expired:
-		return uncertain(protocol.ReasonKeyExpired)
+		return unknownReply(protocol.ReasonKeyExpired)
 	default:
-		return uncertain(protocol.ReasonInProgress)
+		return unknownReply(protocol.ReasonInProgress)
 	}
 }
 
@@ -114,14 +114,14 @@
 	return target.String()
 }
 
-func refusalCode(reason protocol.Reason) int {
-	if status, ok := refusalStatus[reason]; ok {
+func refusalStatusCode(reason protocol.Reason) int {
+	if status, ok := refusalStatusCodes[reason]; ok {
 		return status
 	}
 	return http.StatusServiceUnavailable
 }
 
-func (n *Node) writeVerdict(
+func (n *Node) writeOutcome(
 	w http.ResponseWriter, outcome protocol.Outcome, reason protocol.Reason, status int, load protocol.LoadReport,
 ) {
 	header := w.Header()
@@ -135,7 +135,7 @@
 		header.Set("Retry-After", n.formatRetryAfter(after))
 	}
 	w.WriteHeader(status)
-	text := advice[reason]
+	text := reasonTexts[reason]
 	if text == "" {
 		text = string(reason)
 	}
@@ -167,29 +167,29 @@
 }
 
 // write passes the reply on to the caller.
-func (c *ingressCall) write(w http.ResponseWriter, answer *reply) {
+func (c *ingressCall) writeReply(w http.ResponseWriter, reply *callReply) {
 	header := w.Header()
 	if c.node.options.Dialect.Verdicts {
 		header.Set(protocol.HeaderVersion, strconv.FormatUint(c.snapshot.version, 10))
 	}
-	switch answer.head.Outcome {
+	switch reply.metadata.Outcome {
 	case protocol.OutcomeDone:
-		c.writeAnswer(w, answer)
+		c.writeResponse(w, reply)
 	case protocol.OutcomeNotRun:
-		c.node.writeVerdict(w, protocol.OutcomeNotRun, answer.head.Reason, refusalCode(answer.head.Reason), answer.head.Load)
+		c.node.writeOutcome(w, protocol.OutcomeNotRun, reply.metadata.Reason, refusalStatusCode(reply.metadata.Reason), reply.metadata.Load)
 	default:
-		c.writeUnknown(w, answer)
+		c.writeUnknown(w, reply)
 	}
 }
 
-func (c *ingressCall) writeUnknown(w http.ResponseWriter, answer *reply) {
-	if c.head.Key != "" {
-		w.Header().Set(protocol.HeaderOutcomeURL, outcomeURL(c.head.Key))
+func (c *ingressCall) writeUnknown(w http.ResponseWriter, reply *callReply) {
+	if c.metadata.Key != "" {
+		w.Header().Set(protocol.HeaderOutcomeURL, outcomeURL(c.metadata.Key))
 	}
-	c.node.writeVerdict(w, protocol.OutcomeUnknown, answer.head.Reason, unknownCode(answer.head.Reason), answer.head.Load)
+	c.node.writeOutcome(w, protocol.OutcomeUnknown, reply.metadata.Reason, unknownStatusCode(reply.metadata.Reason), reply.metadata.Load)
 }
 
-func unknownCode(reason protocol.Reason) int {
+func unknownStatusCode(reason protocol.Reason) int {
 	switch reason {
 	case protocol.ReasonDeadline:
 		return http.StatusGatewayTimeout
@@ -208,57 +208,57 @@
 
 // writeAnswer passes on a whole answer. The caller's connection is aborted if a streamed answer is cut, so that no
 // caller takes a part for the whole.
-func (c *ingressCall) writeAnswer(w http.ResponseWriter, answer *reply) {
+func (c *ingressCall) writeResponse(w http.ResponseWriter, reply *callReply) {
 	header := w.Header()
-	for name, values := range answer.head.Header {
+	for name, values := range reply.metadata.Header {
 		header[name] = values
 	}
-	added := max(time.Since(c.started)-c.elsewhere, 0)
+	added := max(time.Since(c.started)-c.externalTime, 0)
 	c.node.metrics.observeAdded(added)
 	if c.node.options.Dialect.Verdicts {
 		header.Set(protocol.HeaderOutcome, string(protocol.OutcomeDone))
-		if answer.head.Reason != protocol.ReasonNone {
-			header.Set(protocol.HeaderReason, string(answer.head.Reason))
+		if reply.metadata.Reason != protocol.ReasonNone {
+			header.Set(protocol.HeaderReason, string(reply.metadata.Reason))
 		}
 		header.Set(protocol.HeaderAdded, strconv.FormatInt(added.Microseconds(), 10))
 	}
-	if answer.head.ContentLength >= 0 && len(answer.trailer) == 0 && bodyAllowed(c.head.Method, answer.head.Status) {
-		header.Set("Content-Length", strconv.FormatInt(answer.head.ContentLength, 10))
+	if reply.metadata.ContentLength >= 0 && len(reply.trailer) == 0 && bodyAllowed(c.metadata.Method, reply.metadata.Status) {
+		header.Set("Content-Length", strconv.FormatInt(reply.metadata.ContentLength, 10))
 	}
-	if !bodyAllowed(c.head.Method, answer.head.Status) {
-		w.WriteHeader(answer.head.Status)
+	if !bodyAllowed(c.metadata.Method, reply.metadata.Status) {
+		w.WriteHeader(reply.metadata.Status)
 		return
 	}
 	// Trailers that are known before the header keep net/http from giving a short answer a Content-Length, with which
 	// it could not send them.
-	setTrailer(header, answer.trailer)
-	w.WriteHeader(answer.head.Status)
-	if _, err := w.Write(answer.body); err != nil {
+	setTrailers(header, reply.trailer)
+	w.WriteHeader(reply.metadata.Status)
+	if _, err := w.Write(reply.body); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	c.writeStream(w, answer)
-	setTrailer(header, answer.trailer)
+	c.writeStreamedBody(w, reply)
+	setTrailers(header, reply.trailer)
 }
 
-func setTrailer(header, trailer http.Header) {
+func setTrailers(header, trailer http.Header) {
 	for name, values := range trailer {
 		header[http.TrailerPrefix+name] = values
 	}
 }
 
-func (c *ingressCall) writeStream(w http.ResponseWriter, answer *reply) {
+func (c *ingressCall) writeStreamedBody(w http.ResponseWriter, reply *callReply) {
 	controller := http.NewResponseController(w)
-	for answer.stream != nil {
-		frame, err := answer.stream.Next()
+	for reply.stream != nil {
+		frame, err := reply.stream.Next()
 		if err != nil {
-			c.node.metrics.cutAnswers.Inc()
+			c.node.metrics.truncatedResponses.Inc()
 			panic(http.ErrAbortHandler)
 		}
 		if _, err := w.Write(frame.Body); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 		if frame.Last {
-			answer.trailer = frame.Trailer
+			reply.trailer = frame.Trailer
 			return
 		}
 		_ = controller.Flush()
@@ -272,7 +272,7 @@
 
 // setCallHeaders sets what an upstream needs to make calls of its own under this one.
 func (e *executor) setCallHeaders(
-	header http.Header, target *upstream, head *protocol.CallMetadata, remaining time.Duration,
+	header http.Header, target *upstream, meta *protocol.CallMetadata, remaining time.Duration,
 ) {
 	set := func(name, value string) {
 		if name != "" && value != "" {
@@ -280,14 +280,14 @@
 		}
 	}
 	set(e.dialect.Deadline, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
-	set(e.dialect.Depth, strconv.Itoa(head.Depth+1))
-	set(e.dialect.RequestID, head.RequestID)
+	set(e.dialect.Depth, strconv.Itoa(meta.Depth+1))
+	set(e.dialect.RequestID, meta.RequestID)
 	set(e.dialect.ExpectUpstream, target.announcement.ID)
-	if head.Retry {
+	if meta.Retry {
 		set(e.dialect.Retry, "1")
 	}
-	if head.Key != "" {
-		header.Set(protocol.HeaderKey, head.Key)
+	if meta.Key != "" {
+		header.Set(protocol.HeaderKey, meta.Key)
 	}
 }
 
@@ -295,34 +295,34 @@
 func (n *Node) serveOutcome(w http.ResponseWriter, r *http.Request) {
 	key := r.URL.Query().Get("key")
 	if key == "" || len(key) > maxKeyBytes {
-		n.writeVerdict(w, protocol.OutcomeNotRun, protocol.ReasonKeyMissing, refusalCode(protocol.ReasonKeyMissing), protocol.LoadReport{})
+		n.writeOutcome(w, protocol.OutcomeNotRun, protocol.ReasonKeyMissing, refusalStatusCode(protocol.ReasonKeyMissing), protocol.LoadReport{})
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), outcomeTimeout)
 	defer cancel()
-	result, err := n.executor.ledger.do(ctx, key, ledger.Command{Query: &ledger.Query{Key: key}})
+	result, err := n.executor.ledger.commit(ctx, key, ledger.Command{Query: &ledger.Query{Key: key}})
 	switch {
 	case err != nil:
-		n.writeVerdict(w, protocol.OutcomeUnknown, protocol.ReasonLedger, http.StatusServiceUnavailable, protocol.LoadReport{})
+		n.writeOutcome(w, protocol.OutcomeUnknown, protocol.ReasonLedger, http.StatusServiceUnavailable, protocol.LoadReport{})
 	case result.Status == ledger.Done:
-		writeRecorded(w, answerReply(result.Response))
+		writeRecordedResponse(w, recordedReply(result.Response))
 	case result.Status == ledger.Released:
-		n.writeVerdict(w, protocol.OutcomeNotRun, protocol.ReasonNone, http.StatusConflict, protocol.LoadReport{})
+		n.writeOutcome(w, protocol.OutcomeNotRun, protocol.ReasonNone, http.StatusConflict, protocol.LoadReport{})
 	default:
 		// An absent key may belong to a request that is still on its way to its executor.
-		n.writeVerdict(w, protocol.OutcomeUnknown, protocol.ReasonInProgress, http.StatusAccepted, protocol.LoadReport{})
+		n.writeOutcome(w, protocol.OutcomeUnknown, protocol.ReasonInProgress, http.StatusAccepted, protocol.LoadReport{})
 	}
 }
 
 // writeRecorded passes on an answer from the ledger.
-func writeRecorded(w http.ResponseWriter, recorded *reply) {
-	for name, values := range recorded.head.Header {
+func writeRecordedResponse(w http.ResponseWriter, reply *callReply) {
+	for name, values := range reply.metadata.Header {
 		w.Header()[name] = values
 	}
 	w.Header().Set(protocol.HeaderOutcome, string(protocol.OutcomeDone))
-	if recorded.head.Reason != protocol.ReasonNone {
-		w.Header().Set(protocol.HeaderReason, string(recorded.head.Reason))
+	if reply.metadata.Reason != protocol.ReasonNone {
+		w.Header().Set(protocol.HeaderReason, string(reply.metadata.Reason))
 	}
-	w.WriteHeader(recorded.head.Status)
-	_, _ = w.Write(recorded.body)
+	w.WriteHeader(reply.metadata.Status)
+	_, _ = w.Write(reply.body)
 }
--- a/node/run.go
+++ b/node/run.go
@@ -16,175 +16,175 @@
 )
 
 // inlineBytes is the largest answer that is checked as a whole before its first byte is passed on.
-const inlineBytes = 64 << 10
+const maxBufferedResponseBytes = 64 << 10
 
 // run carries out one call. The context ends when the caller leaves or the deadline passes.
-func (e *executor) run(ctx context.Context, head *protocol.CallMetadata, body *requestBody) *reply {
-	arrived := time.Now()
-	deadline := arrived.Add(head.Remaining)
+func (e *executor) run(ctx context.Context, meta *protocol.CallMetadata, body *requestBody) *callReply {
+	receivedAt := time.Now()
+	deadline := receivedAt.Add(meta.Remaining)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
-	if head.Class == bundle.ClassIrreversible && head.Key != "" {
+	if meta.Class == bundle.ClassIrreversible && meta.Key != "" {
 		defer cancel()
-		return e.report(head, e.runOnce(ctx, head, body, deadline), arrived)
+		return e.reportCall(meta, e.runIrreversible(ctx, meta, body, deadline), receivedAt)
 	}
-	return e.report(head, e.runUnrecorded(ctx, head, body, deadline).afterwards(cancel), arrived)
+	return e.reportCall(meta, e.runWithoutKey(ctx, meta, body, deadline).addOnFinish(cancel), receivedAt)
 }
 
 // report adds the upstream's load to an answer, and counts and logs the call.
-func (e *executor) report(head *protocol.CallMetadata, answer *reply, arrived time.Time) *reply {
-	answer.head.Load = e.load()
+func (e *executor) reportCall(meta *protocol.CallMetadata, reply *callReply, receivedAt time.Time) *callReply {
+	reply.metadata.Load = e.load()
 	switch {
-	case answer.head.Outcome == protocol.OutcomeNotRun:
-		e.metrics.shed.WithLabelValues(string(answer.head.Reason)).Inc()
-	case answer.head.Upstream > 0:
-		e.metrics.upstreamTime.Observe(answer.head.Upstream.Seconds())
+	case reply.metadata.Outcome == protocol.OutcomeNotRun:
+		e.metrics.refusedCalls.WithLabelValues(string(reply.metadata.Reason)).Inc()
+	case reply.metadata.Upstream > 0:
+		e.metrics.upstreamTime.Observe(reply.metadata.Upstream.Seconds())
 	}
-	e.requestLog.call(head, answer, time.Since(arrived)-answer.head.Upstream)
-	return answer
+	e.requestLog.callEnded(meta, reply, time.Since(receivedAt)-reply.metadata.Upstream)
+	return reply
 }
 
 // runUnrecorded runs a lookup or report, or an irreversible call without a key, which the ingress sends to another
 // upstream only after a refusal. A call of the latter kind is not broken off once it runs: its caller may have left, but
 // half of an irreversible request helps nobody.
-func (e *executor) runUnrecorded(
-	ctx context.Context, head *protocol.CallMetadata, body *requestBody, deadline time.Time,
-) *reply {
-	slot, reason := e.admit(ctx, head, deadline)
+func (e *executor) runWithoutKey(
+	ctx context.Context, meta *protocol.CallMetadata, body *requestBody, deadline time.Time,
+) *callReply {
+	slot, reason := e.admit(ctx, meta, deadline)
 	if slot == nil {
-		return refusal(reason)
+		return notRunReply(reason)
 	}
-	if head.Class == bundle.ClassIrreversible {
+	if meta.Class == bundle.ClassIrreversible {
 		detached, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 		// The rest of a long answer is read after this function has returned.
-		return e.exchange(detached, head, body, slot, deadline).afterwards(cancel)
+		return e.exchange(detached, meta, body, slot, deadline).addOnFinish(cancel)
 	}
-	return e.exchange(ctx, head, body, slot, deadline)
+	return e.exchange(ctx, meta, body, slot, deadline)
 }
 
 // exchange sends a call that has a slot to its upstream.
 func (e *executor) exchange(
-	ctx context.Context, head *protocol.CallMetadata, body *requestBody, slot *place, deadline time.Time,
-) *reply {
+	ctx context.Context, meta *protocol.CallMetadata, body *requestBody, slot *grantedSlot, deadline time.Time,
+) *callReply {
 	started := time.Now()
-	request := e.upstreamRequest(slot.upstream, head, body, deadline)
-	answer, err := slot.upstream.client.Do(ctx, request)
+	request := e.upstreamRequest(slot.upstream, meta, body, deadline)
+	response, err := slot.upstream.client.Do(ctx, request)
 	if err != nil {
-		defer e.release(slot, 0)
-		return e.failed(ctx, slot, err)
+		defer e.releaseSlot(slot, 0)
+		return e.failedReply(ctx, slot, err)
 	}
-	if !e.dialect.Genuine(request.Header, answer.Response.Header, answer.Response.StatusCode) {
-		answer.Discard()
-		defer e.release(slot, 0)
-		return e.failed(ctx, slot, errors.Wrap(web.ErrCut, "the answer does not belong to the request"))
+	if !e.dialect.Genuine(request.Header, response.Response.Header, response.Response.StatusCode) {
+		response.Discard()
+		defer e.releaseSlot(slot, 0)
+		return e.failedReply(ctx, slot, errors.Wrap(web.ErrCut, "the answer does not belong to the request"))
 	}
-	if e.dialect.Refused(answer.Response.StatusCode, answer.Response.Header) {
-		answer.Response.Body.Close()
-		e.release(slot, 0)
-		return refusal(protocol.ReasonUpstreamRefused)
+	if e.dialect.Refused(response.Response.StatusCode, response.Response.Header) {
+		response.Response.Body.Close()
+		e.releaseSlot(slot, 0)
+		return notRunReply(protocol.ReasonUpstreamRefused)
 	}
-	return e.relayAnswer(ctx, head, slot, started, answer)
+	return e.forwardResponse(ctx, meta, slot, started, response)
 }
 
 // relayAnswer buffers a short answer whole, or streams a long one.
-func (e *executor) relayAnswer(
-	ctx context.Context, head *protocol.CallMetadata, slot *place, started time.Time, answer *web.UpstreamAnswer,
-) *reply {
-	start, ended, err := readStart(answer.Response.Body)
+func (e *executor) forwardResponse(
+	ctx context.Context, meta *protocol.CallMetadata, slot *grantedSlot, started time.Time, response *web.UpstreamAnswer,
+) *callReply {
+	prefix, complete, err := readPrefix(response.Response.Body)
 	if err != nil {
-		answer.Response.Body.Close()
-		defer e.release(slot, 0)
-		return e.failed(ctx, slot, errors.Wrapf(web.ErrCut, "%v", err))
-	}
-	result := &reply{head: replyHead(head.Method, answer), body: start}
-	if ended {
-		answer.Response.Body.Close()
-		result.trailer = answer.Response.Trailer
-		result.head.ContentLength = int64(len(start))
-		result.head.Upstream = time.Since(answer.Sent)
-		e.release(slot, time.Since(started))
-		e.succeeded(head)
-		return result
-	}
-	result.head.Upstream = time.Since(answer.Sent)
-	result.stream = &upstreamStream{response: answer.Response}
-	result.done = func() { e.release(slot, time.Since(started)) }
-	return result
+		response.Response.Body.Close()
+		defer e.releaseSlot(slot, 0)
+		return e.failedReply(ctx, slot, errors.Wrapf(web.ErrCut, "%v", err))
+	}
+	reply := &callReply{metadata: responseMetadata(meta.Method, response), body: prefix}
+	if complete {
+		response.Response.Body.Close()
+		reply.trailer = response.Response.Trailer
+		reply.metadata.ContentLength = int64(len(prefix))
+		reply.metadata.Upstream = time.Since(response.Sent)
+		e.releaseSlot(slot, time.Since(started))
+		e.clearSuspicion(meta)
+		return reply
+	}
+	reply.metadata.Upstream = time.Since(response.Sent)
+	reply.stream = &upstreamStream{response: response.Response}
+	reply.onFinish = func() { e.releaseSlot(slot, time.Since(started)) }
+	return reply
 }
 
 // readStart reads up to inlineBytes and reports whether the body ended there. net/http reports a body that is shorter
 // than announced as an error.
-func readStart(body io.Reader) (start []byte, ended bool, err error) {
+func readPrefix(body io.Reader) (prefix []byte, complete bool, err error) {
 	buffer := bytes.NewBuffer(make([]byte, 0, bytes.MinRead))
-	_, err = buffer.ReadFrom(io.LimitReader(body, inlineBytes+1))
+	_, err = buffer.ReadFrom(io.LimitReader(body, maxBufferedResponseBytes+1))
 	if err != nil {
 		return nil, false, err
 	}
-	return buffer.Bytes(), buffer.Len() <= inlineBytes, nil
+	return buffer.Bytes(), buffer.Len() <= maxBufferedResponseBytes, nil
 }
 
 func (e *executor) upstreamRequest(
-	target *upstream, head *protocol.CallMetadata, body *requestBody, deadline time.Time,
+	target *upstream, meta *protocol.CallMetadata, body *requestBody, deadline time.Time,
 ) web.UpstreamRequest {
-	header := http.Header(head.Header).Clone()
+	header := http.Header(meta.Header).Clone()
 	if header == nil {
 		header = make(http.Header)
 	}
-	e.setCallHeaders(header, target, head, time.Until(deadline))
+	e.setCallHeaders(header, target, meta, time.Until(deadline))
 	request := web.UpstreamRequest{
-		Method: head.Method, URI: head.URI, Host: head.Host, Header: header,
-		ContentLength: head.ContentLength, Trailer: body.trailer,
+		Method: meta.Method, URI: meta.URI, Host: meta.Host, Header: header,
+		ContentLength: meta.ContentLength, Trailer: body.trailer,
 	}
 	switch {
 	case body.rest != nil:
-		request.Body = io.MultiReader(bytes.NewReader(body.start), body.rest)
+		request.Body = io.MultiReader(bytes.NewReader(body.prefix), body.rest)
 	case len(body.trailer) > 0:
 		// net/http sends trailers only with a chunked body.
-		request.Body = bytes.NewReader(body.start)
+		request.Body = bytes.NewReader(body.prefix)
 		request.ContentLength = -1
-	case len(body.start) > 0:
-		request.Body = bytes.NewReader(body.start)
-		request.ContentLength = int64(len(body.start))
+	case len(body.prefix) > 0:
+		request.Body = bytes.NewReader(body.prefix)
+		request.ContentLength = int64(len(body.prefix))
 	default:
 		request.ContentLength = 0
 	}
 	return request
 }
 
-func replyHead(method string, answer *web.UpstreamAnswer) protocol.ReplyMetadata {
-	header := web.CopyHeader(answer.Response.Header)
-	if answer.Response.ContentLength >= 0 && bodyAllowed(method, answer.Response.StatusCode) {
+func responseMetadata(method string, response *web.UpstreamAnswer) protocol.ReplyMetadata {
+	header := web.CopyHeader(response.Response.Header)
+	if response.Response.ContentLength >= 0 && bodyAllowed(method, response.Response.StatusCode) {
 		header.Del("Content-Length") // The ingress sets it from the head.
 	}
 	return protocol.ReplyMetadata{
 		Outcome:       protocol.OutcomeDone,
-		Status:        answer.Response.StatusCode,
+		Status:        response.Response.StatusCode,
 		Header:        protocol.Fields(header),
-		ContentLength: answer.Response.ContentLength,
+		ContentLength: response.Response.ContentLength,
 	}
 }
 
 // failed turns a failed exchange with the upstream into a reply.
-func (e *executor) failed(ctx context.Context, slot *place, err error) *reply {
+func (e *executor) failedReply(ctx context.Context, slot *grantedSlot, err error) *callReply {
 	if errors.Is(err, web.ErrNotWritten) {
 		e.startCrashCheck(slot)
-		return refusal(protocol.ReasonUnreachable)
+		return notRunReply(protocol.ReasonUnreachable)
 	}
 	if ctx.Err() != nil {
-		return uncertain(protocol.ReasonDeadline)
+		return unknownReply(protocol.ReasonDeadline)
 	}
-	crashed := e.explainBreak(ctx, slot)
+	crashed := e.awaitCrashCheck(ctx, slot)
 	reason := protocol.ReasonUpstreamFailed
 	if errors.Is(err, web.ErrCut) && !crashed {
 		reason = protocol.ReasonTruncated
 	}
-	result := uncertain(reason)
-	result.head.Suspect = crashed
-	return result
+	reply := unknownReply(reason)
+	reply.metadata.Suspect = crashed
+	return reply
 }
 
 // succeeded clears a suspicion against the request.
-func (e *executor) succeeded(head *protocol.CallMetadata) {
-	report, changed := e.quarantine.Succeeded(time.Now(), quarantine.Fingerprint(head.Fingerprint))
+func (e *executor) clearSuspicion(meta *protocol.CallMetadata) {
+	report, changed := e.quarantine.Succeeded(time.Now(), quarantine.Fingerprint(meta.Fingerprint))
 	if changed {
 		e.publish(report)
 	}
@@ -198,12 +198,12 @@
 // Next reads the next part of the body.
 func (s *upstreamStream) Next() (*protocol.ReplyFrame, error) {
 	buffer := make([]byte, protocol.ChunkBytes)
-	n, ended, err := readChunk(s.response.Body, buffer)
+	n, last, err := readChunk(s.response.Body, buffer)
 	if err != nil {
 		return nil, errors.Wrapf(web.ErrCut, "%v", err)
 	}
-	frame := &protocol.ReplyFrame{Body: buffer[:n], Last: ended}
-	if ended {
+	frame := &protocol.ReplyFrame{Body: buffer[:n], Last: last}
+	if last {
 		frame.Trailer = s.response.Trailer
 	}
 	return frame, nil
@@ -211,7 +211,7 @@
 
 // readChunk reads what is available. Unlike io.ReadFull it tells a body that ended from one that was cut, which
 // net/http reports as io.ErrUnexpectedEOF.
-func readChunk(body io.Reader, buffer []byte) (n int, ended bool, err error) {
+func readChunk(body io.Reader, buffer []byte) (n int, last bool, err error) {
 	for n == 0 {
 		n, err = body.Read(buffer)
 		if errors.Is(err, io.EOF) {
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -26,7 +26,7 @@
 }
 
 // maxSkippedTurns spreads the turns of split routes over processes.
-const maxSkippedTurns = 100
+const maxSplitOffset = 100
 
 // routePolicy holds what a route needs per call.
 type routePolicy struct {
@@ -71,18 +71,18 @@
 func newRoutePolicy(route *routing.Route, previous *snapshot) *routePolicy {
 	policy := &routePolicy{}
 	if len(route.Split) > 0 {
-		policy.split = routing.NewSplitter(route.Split, rand.IntN(maxSkippedTurns))
+		policy.split = routing.NewSplitter(route.Split, rand.IntN(maxSplitOffset))
 	} else {
 		policy.split = routing.NewSplitter(route.Shares(), 0)
 	}
-	var kept *routePolicy
+	var previousPolicy *routePolicy
 	if previous != nil {
 		if old, ok := previous.routes.Named(route.Name); ok {
-			kept = previous.policies[route.Name]
+			previousPolicy = previous.policies[route.Name]
 			if old.Retry != route.Retry {
 				policy.budget = nil
 			} else {
-				policy.budget = kept.budget
+				policy.budget = previousPolicy.budget
 			}
 		}
 	}
@@ -92,12 +92,12 @@
 		})
 	}
 	for _, resource := range route.Resources {
-		policy.apply(resource, kept)
+		policy.apply(resource, previousPolicy)
 	}
 	return policy
 }
 
-func (p *routePolicy) apply(resource bundle.Resource, kept *routePolicy) {
+func (p *routePolicy) apply(resource bundle.Resource, previous *routePolicy) {
 	switch {
 	case resource.Kind == bundle.ResourceHeaders:
 		if p.headers == nil {
@@ -108,8 +108,8 @@
 		}
 	case resource.Kind == bundle.ResourceCallLimit && resource.CallLimit != nil:
 		limit, burst := rate.Limit(resource.CallLimit.CallsPerSecond), resource.CallLimit.Burst
-		if kept != nil && kept.limiter != nil && kept.limiter.Limit() == limit && kept.limiter.Burst() == burst {
-			p.limiter = kept.limiter
+		if previous != nil && previous.limiter != nil && previous.limiter.Limit() == limit && previous.limiter.Burst() == burst {
+			p.limiter = previous.limiter
 			return
 		}
 		p.limiter = rate.NewLimiter(limit, burst)
--- a/node/background.go
+++ b/node/task_group.go
@@ -7,16 +7,16 @@
 
 // background counts goroutines that outlive the call which started them. Unlike sync.WaitGroup it may be waited for
 // while others still start: a stop waits for recordings while the last calls arrive.
-type background struct {
+type taskGroup struct {
 	mu     sync.Mutex
 	count  int
 	closed bool
 	// empty is closed when the count reaches 0; nil while nobody waits.
-	empty chan struct{}
+	idle chan struct{}
 }
 
 // start runs f on a goroutine. It returns false, and does not run f, once the group is closed.
-func (b *background) start(f func()) bool {
+func (b *taskGroup) start(f func()) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
@@ -24,36 +24,36 @@
 	}
 	b.count++
 	go func() {
-		defer b.end()
+		defer b.done()
 		f()
 	}()
 	return true
 }
 
-func (b *background) end() {
+func (b *taskGroup) done() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.count--
-	if b.count == 0 && b.empty != nil {
-		close(b.empty)
-		b.empty = nil
+	if b.count == 0 && b.idle != nil {
+		close(b.idle)
+		b.idle = nil
 	}
 }
 
 // wait returns once no goroutine runs, or when the context ends.
-func (b *background) wait(ctx context.Context) error {
+func (b *taskGroup) wait(ctx context.Context) error {
 	b.mu.Lock()
 	if b.count == 0 {
 		b.mu.Unlock()
 		return nil
 	}
-	if b.empty == nil {
-		b.empty = make(chan struct{})
+	if b.idle == nil {
+		b.idle = make(chan struct{})
 	}
-	empty := b.empty
+	idle := b.idle
 	b.mu.Unlock()
 	select {
-	case <-empty:
+	case <-idle:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -61,7 +61,7 @@
 }
 
 // close refuses further goroutines and waits for those that run.
-func (b *background) close() {
+func (b *taskGroup) close() {
 	b.mu.Lock()
 	b.closed = true
 	b.mu.Unlock()
--- a/node/background_test.go
+++ b/node/task_group_test.go
@@ -10,7 +10,7 @@
 // TestBackgroundStartsWhileWaiting guards against the panic of sync.WaitGroup ("reused before previous Wait has
 // returned"), which ended a process in herd-crash (kartuli, seed 2) when a call started during a stop.
 func TestBackgroundStartsWhileWaiting(t *testing.T) {
-	var group background
+	var group taskGroup
 	var ran, started atomic.Int64
 	var starters sync.WaitGroup
 	for range 8 {
--- a/node/upstream.go
+++ b/node/upstream.go
@@ -80,9 +80,9 @@
 	probeTimeout  = 300 * time.Millisecond
 	// healthPatience bounds how long a bad health report keeps an upstream that accepts connections out of service:
 	// health reports lag or mislead.
-	healthPatience = 5 * time.Second
+	maxUnhealthyTime = 5 * time.Second
 	// watchFailures tolerates a connection that is lost or slow to open on a busy instance.
-	watchFailures = 2
+	probeFailureThreshold = 2
 )
 
 // upstream is one announced upstream.
@@ -103,7 +103,7 @@
 }
 
 // accepts reports whether the upstream accepts connections.
-func (u *upstream) accepts(ctx context.Context) bool {
+func (u *upstream) acceptsConnections(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return u.client.Probe(ctx) == nil
