--- a/node/admin.go
+++ b/node/admin.go
@@ -16,9 +16,9 @@
 	"sapphiregate.example/sapphiregate/protocol"
 )
 
-// Paths on the administration address.
+// Paths on the admin address.
 const (
-	// PathUpstream takes announcements: PUT announces the upstream, DELETE tells that it is leaving.
+	// PathUpstream announces the upstream with PUT, and begins its drain with DELETE.
 	PathUpstream   = "/v1/upstream"
 	PathDump       = "/debug/dump"
 	PathMetrics    = "/metrics"
@@ -52,6 +52,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// decodeStrict decodes exactly one JSON value without unknown fields, or returns ErrAnnouncement.
 func decodeStrict(w http.ResponseWriter, r *http.Request, value any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	decoder.DisallowUnknownFields()
@@ -77,7 +78,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serveClear lifts the quarantine of the fingerprints given as query parameters, or of all.
+// serveClear lifts the quarantine of the fingerprints given as query parameters; without any, of all fingerprints.
 func (n *Node) serveClear(w http.ResponseWriter, r *http.Request) {
 	var fingerprints []quarantine.Fingerprint
 	for _, text := range r.URL.Query()["fingerprint"] {
@@ -95,7 +96,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Dump is the state of a node.
+// Dump is the state of a node for diagnosis, as PathDump returns it.
 type Dump struct {
 	ID          string                   `json:"id"`
 	Zone        string                   `json:"zone"`
@@ -117,7 +118,7 @@
 	State        string              `json:"state"`
 	Announcement *Announcement       `json:"announcement,omitempty"`
 	Load         protocol.LoadReport `json:"load"`
-	// SelfReport is what the upstream's load page says; it is shown for comparison only.
+	// SelfReport is what the upstream itself reports at its load path; it is shown for comparison only.
 	SelfReport json.RawMessage `json:"self_report,omitempty"`
 }
 
--- a/node/announce.go
+++ b/node/announce.go
@@ -8,11 +8,11 @@
 	"sapphiregate.example/sapphiregate/coordination/endpoints"
 )
 
-// idleCheckInterval is the time between two looks whether calls in flight have ended.
+// idleCheckInterval is the time between two checks whether calls in flight have ended.
 const idleCheckInterval = 10 * time.Millisecond
 
-// accept takes an announcement of the upstream beside this node. A repeated announcement changes nothing, apart from
-// ending a drain.
+// acceptAnnouncement puts the announced upstream into service. A repeated announcement has no effect on a serving
+// upstream and ends a drain.
 func (e *executor) acceptAnnouncement(announcement Announcement) error {
 	if err := announcement.Validate(); err != nil {
 		return err
@@ -31,7 +31,7 @@
 		return nil
 	}
 	if e.state == upstreamDraining || e.state == upstreamAbsent {
-		// A queue that drains refuses calls for good.
+		// A drained queue refuses all further calls, so a new one is needed.
 		e.queue = admission.New(e.queueConfig())
 		e.waiters = make(map[uint64]chan admission.Verdict)
 	} else {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// slots returns the calls that may be in flight. The lock is held.
+// slots returns the number of calls that the upstream may run at once. The caller holds e.mu.
 func (e *executor) slots() int {
 	slots := e.upstream.announcement.Slots
 	if service, ok := e.service(e.upstream.announcement.Service); ok && service.MaxConcurrency > 0 {
@@ -54,6 +54,7 @@
 	return slots
 }
 
+// queueConfig returns the queue's limits for the current upstream. The caller holds e.mu.
 func (e *executor) queueConfig() admission.Config {
 	config := admission.Config{Slots: 1}
 	if e.upstream == nil {
@@ -67,8 +68,9 @@
 	return config
 }
 
-// queuePerSlot bounds the wait to about as many service times, unless a service sets a queue limit. Callers give up
-// before their deadline: with 4 per slot, 8% of the lookups in overload-2x ran for callers that had left.
+// defaultQueuePerSlot is the queue limit per slot of a service that sets none. It bounds the wait to about as many
+// service times. Callers disconnect before their deadline: with 4 per slot, 8% of the lookups in the scenario
+// overload-2x ran for callers that had disconnected.
 const defaultQueuePerSlot = 2
 
 // reconfigure applies the service settings of a new version.
@@ -82,7 +84,7 @@
 	e.applyDecisions(e.queue.Expire(time.Now()))
 }
 
-// leave drains for good: this process is about to end, whatever its upstream says.
+// drainForStop drains the upstream because this process stops; further announcements have no effect.
 func (e *executor) drainForStop() {
 	e.mu.Lock()
 	e.stopping = true
@@ -106,7 +108,7 @@
 	e.background.start(e.announceGone)
 }
 
-// announceGone publishes the end of a drain, unless the upstream announces itself again first.
+// announceGone publishes the end of a drain, unless the upstream has announced itself again in the meantime.
 func (e *executor) announceGone() {
 	if err := e.waitIdle(e.ctx); err != nil {
 		return
@@ -118,7 +120,7 @@
 	}
 }
 
-// idle waits until no call is in flight, nor on its way between claim and slot.
+// waitIdle waits until no call holds a slot, waits for one, or has a pending claim.
 func (e *executor) waitIdle(ctx context.Context) error {
 	for {
 		e.mu.Lock()
--- a/node/call_stream.go
+++ b/node/call_stream.go
@@ -14,7 +14,7 @@
 	"sapphiregate.example/sapphiregate/transport/rpc"
 )
 
-// errCut means that a Call stream ended before its last frame.
+// errStreamTruncated means that a Call stream ended before its last frame.
 var errStreamTruncated = errors.New("node: call stream ended early")
 
 // Call serves calls that other nodes send to the upstream beside this one.
@@ -24,7 +24,7 @@
 		return err
 	}
 	if first.Metadata == nil {
-		return errors.Wrap(protocol.ErrMalformed, "call without a head")
+		return errors.Wrap(protocol.ErrMalformed, "the first frame of a call has no metadata")
 	}
 	body := &requestBody{prefix: first.Body, trailer: first.Trailer}
 	if !first.Last {
@@ -38,10 +38,11 @@
 	return sendReply(stream, reply)
 }
 
-// progressDelay is after which time an executor tells the ingress that it has a call. Shorter calls need no such frame.
+// progressDelay is the time after which an executor sends a progress frame for a call. Shorter calls need none.
 const progressDelay = 20 * time.Millisecond
 
-// progress sends one frame if a call takes long, so that the ingress can tell a busy upstream from a silent partition.
+// progressNotifier sends one progress frame if a call takes longer than progressDelay, so that the ingress can tell a
+// busy upstream from a network partition.
 type progressNotifier struct {
 	mu      sync.Mutex
 	stopped bool
@@ -62,12 +63,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.stopped {
-		// A broken stream is noticed when the answer is sent.
+		// If the stream is broken, sendReply returns the error.
 		_ = p.stream.Send(&protocol.ReplyFrame{Progress: true})
 	}
 }
 
-// stop returns once no progress frame is being sent: a stream takes one frame at a time.
+// stop prevents further progress frames and waits for one that is being sent: Send must not be called concurrently.
 func (p *progressNotifier) stop() {
 	if p.timer == nil {
 		return
@@ -78,6 +79,7 @@
 	p.stopped = true
 }
 
+// sendReply sends the metadata with the start of the body, then the frames of the rest.
 func sendReply(stream rpc.CallServerStream, reply *callReply) error {
 	frame := &protocol.ReplyFrame{Metadata: &reply.metadata, Body: reply.body}
 	if reply.stream == nil {
@@ -107,11 +109,12 @@
 	recv    func() (*protocol.CallFrame, error)
 	pending []byte
 	done    bool
-	// trailer receives the values of the declared fields with the last frame.
+	// trailer contains the declared fields; each frame sets their values, which are complete with the last frame.
 	trailer http.Header
 }
 
-// declaredTrailer returns the fields that net/http announces before the body.
+// declaredTrailer returns a trailer with the given field names and no values, from which net/http announces the
+// trailer before the body.
 func declaredTrailer(names []string) http.Header {
 	if len(names) == 0 {
 		return nil
@@ -123,8 +126,8 @@
 	return trailer
 }
 
-// Read implements io.Reader. A stream that ends without a last frame is an error, so that the upstream does not take
-// a cut request for a whole one.
+// Read implements io.Reader. It returns an error if the stream ends without a last frame, so that the upstream does
+// not take a truncated request for a complete one.
 func (r *frameReader) Read(data []byte) (int, error) {
 	for len(r.pending) == 0 {
 		if r.done {
@@ -144,7 +147,8 @@
 	return n, nil
 }
 
-// callRemote sends a call to the node beside the target. It calls reached once the executor has shown that it has it.
+// callRemote sends a call to the node beside the target. It calls onAcknowledged when the executor's progress frame
+// arrives.
 func (n *Node) callRemote(
 	callerCtx context.Context, target balance.Target, meta *protocol.CallMetadata, body *requestBody, onAcknowledged func(),
 ) *callReply {
@@ -180,7 +184,7 @@
 	return reply
 }
 
-// brokenCall explains why a call that was sent has no answer.
+// failedCallReply returns the reply to a call that was sent and got no reply; it may have run.
 func failedCallReply(callerCtx context.Context, err error) *callReply {
 	switch {
 	case errors.Is(callerCtx.Err(), context.DeadlineExceeded), errors.Is(err, rpc.ErrTimeout):
@@ -191,7 +195,7 @@
 	return unknownReply(protocol.ReasonNodeFailed)
 }
 
-// sendCall sends the head with the start of the body, then the rest.
+// sendCall sends the metadata with the start of the body, then the rest.
 func sendCall(stream rpc.CallClientStream, meta *protocol.CallMetadata, body *requestBody) error {
 	first := &protocol.CallFrame{Metadata: meta, Body: body.prefix, Last: body.buffered()}
 	if body.buffered() {
@@ -220,7 +224,7 @@
 	}
 }
 
-// remoteStream passes on the frames of a long answer.
+// remoteStream receives the frames of a long response from another node.
 type remoteStream struct {
 	stream rpc.CallClientStream
 	cancel context.CancelFunc
@@ -235,5 +239,5 @@
 	return frame, nil
 }
 
-// Close ends the stream.
+// Close cancels the call.
 func (s *remoteStream) Close() { s.cancel() }
--- a/node/control.go
+++ b/node/control.go
@@ -52,7 +52,7 @@
 	return e
 }
 
-// close ends background work without waiting for answers to be recorded.
+// close cancels background work, including responses that are not recorded yet, and waits for it to end.
 func (e *executor) close() {
 	e.stop()
 	e.mu.Lock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// handleOutput carries out the relay's outputs that concern this node. It runs on the control goroutine.
+// handleOutput handles the relay's outputs that concern the node itself. It runs on the control goroutine.
 func (n *Node) handleOutput(now time.Time, output relay.Output) {
 	switch output := output.(type) {
 	case relay.Activate:
@@ -83,7 +83,7 @@
 	}
 }
 
-// activate puts a bundle into force by one pointer swap, or leaves everything as it is.
+// activate puts a bundle into force by one pointer swap. On an error the previous snapshot stays in force.
 func (n *Node) activate(now time.Time, output relay.Activate) {
 	previous := n.snapshot.Load()
 	next, err := newSnapshot(now, output.Approval, output.Bundle, previous)
@@ -92,7 +92,7 @@
 		return
 	}
 	if previous != nil && !invariant.Check(next.version > previous.version, invariant.VersionRollback,
-		"a proxy would move back", map[string]any{"from": previous.version, "to": next.version}) {
+		"the activated version is not newer", map[string]any{"from": previous.version, "to": next.version}) {
 		return
 	}
 	n.snapshot.Store(next)
@@ -106,22 +106,22 @@
 	n.logger.Info().Uint64("version", next.version).Str("digest", next.digest.Short()).Msg("bundle in force")
 }
 
-// seenEndpoint is what the balancer was last told of an endpoint.
+// knownEndpoint is what the balancer was last told of an endpoint.
 type knownEndpoint struct {
 	incarnation uint64
 	service     string
 	state       endpoints.State
-	// since is the time since when the upstream serves, as far as this node knows.
+	// since is the time at which this node first saw the upstream in service; zero if it was before this node's start.
 	since time.Time
 }
 
-// maxPartialServices is the number of changed services from which the whole table is handed over. Each service costs a
-// search of the table.
+// maxPartialServices is the highest number of changed services for which only their endpoints are passed to the
+// balancer; beyond it the whole table is. Each service costs a search of the table.
 const maxPartialServices = 16
 
-// refreshEndpoints hands changed endpoints to the balancer, once per batch of changes. A change costs the endpoints of
-// its service and one search of the table; handing over the whole table at each change would exceed the processor
-// limit of a node at 16,000 endpoints.
+// refreshEndpoints passes changed endpoints to the balancer, once per batch of changes. A change costs the endpoints of
+// its service and one search of the table; passing the whole table at each change would exceed the CPU limit of a node
+// at 16,000 endpoints.
 func (n *Node) refreshEndpoints(now time.Time) {
 	current := n.snapshot.Load()
 	if current == nil || !n.refreshAll && len(n.changedIDs) == 0 {
@@ -141,8 +141,8 @@
 	n.balancer.UpdateServices(now, services, n.balancerEndpoints(now, records), current.services)
 }
 
-// changedServices lists the services that changed records belong to, or belonged to before. It forgets records that
-// were dropped.
+// changedServices lists the services to which changed records belong or belonged before. It deletes records that are no
+// longer in the table from knownEndpoints.
 func (n *Node) changedServices() []string {
 	changed := make(map[string]bool)
 	for id := range n.changedIDs {
@@ -160,6 +160,7 @@
 	return slices.Sorted(maps.Keys(changed))
 }
 
+// balancerEndpoints converts records for the balancer and keeps them in knownEndpoints.
 func (n *Node) balancerEndpoints(now time.Time, records []endpoints.Record) []balance.Endpoint {
 	firstTable := len(n.knownEndpoints) == 0
 	table := make([]balance.Endpoint, 0, len(records))
@@ -177,7 +178,8 @@
 	return table
 }
 
-// sight notes since when an upstream serves. What is there when this node starts has probably served for long.
+// observeEndpoint determines the time since which an upstream serves. Upstreams in the first table that this node gets
+// have a zero time: they have probably served for long.
 func (n *Node) observeEndpoint(now time.Time, record endpoints.Record, firstTable bool) knownEndpoint {
 	known, ok := n.knownEndpoints[record.ID]
 	observed := knownEndpoint{incarnation: record.Incarnation, service: record.Service, state: record.State, since: now}
@@ -198,7 +200,7 @@
 	endpoints.Suspect:  balance.Suspect,
 }
 
-// publishReport spreads a crash report or clearance through the tree.
+// publishCrashReport distributes a crash report or clearance through the distribution tree.
 func (n *Node) publishCrashReport(report quarantine.Report) {
 	encoded, err := protocol.EncodeCrashReport(report)
 	if err != nil {
--- a/node/crash.go
+++ b/node/crash.go
@@ -8,14 +8,14 @@
 	"sapphiregate.example/sapphiregate/coordination/quarantine"
 )
 
-// crashCheck explains a broken connection: either the upstream died, or only that exchange was cut.
+// crashCheck finds out after a broken connection whether the upstream crashed or only that exchange failed.
 type crashCheck struct {
 	done    chan struct{}
 	crashed bool
 }
 
-// explainBreak reports whether the upstream died. All calls in flight at that time share one check, and wait for it, so
-// that none is sent again before the suspects are known.
+// awaitCrashCheck reports whether the upstream crashed. All calls in flight share one check and wait for it, so that
+// none is sent again before the suspects are known. It returns true if the context ends first.
 func (e *executor) awaitCrashCheck(ctx context.Context, slot *grantedSlot) bool {
 	check := e.startCrashCheck(slot)
 	if check == nil {
@@ -29,8 +29,8 @@
 	}
 }
 
-// startCrashCheck probes the upstream with the requests that are in flight now. It returns nil if the upstream has been
-// replaced by another announcement.
+// startCrashCheck starts a check, or returns the one that runs. If the upstream has crashed, the requests that are in
+// flight now become suspects. It returns nil if another announcement has replaced the upstream, or during a stop.
 func (e *executor) startCrashCheck(slot *grantedSlot) *crashCheck {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,7 +50,8 @@
 	return check
 }
 
-// inFlight returns the requests that hold a slot, and whether the only one runs alone. The lock is held.
+// suspects returns the fingerprints of the requests that hold a slot, and whether there is only one and it runs
+// exclusively. The caller holds e.mu.
 func (e *executor) suspects() ([]quarantine.Fingerprint, bool) {
 	var fingerprints []quarantine.Fingerprint
 	exclusive := false
@@ -64,6 +65,7 @@
 	return fingerprints, exclusive && len(fingerprints) == 1
 }
 
+// runCrashCheck probes the upstream and completes the check.
 func (e *executor) runCrashCheck(
 	check *crashCheck, probed *upstream, suspects []quarantine.Fingerprint, isolated bool,
 ) {
@@ -78,7 +80,8 @@
 	close(check.done)
 }
 
-// upstreamDied publishes the suspects, takes the upstream out of service and watches for its return.
+// markUpstreamDown publishes the suspects of a crash and takes the upstream out of service; monitorUpstream puts it
+// back once it accepts connections.
 func (e *executor) markUpstreamDown(failed *upstream, suspects []quarantine.Fingerprint, isolated bool) {
 	if len(suspects) > 0 {
 		e.publish(e.quarantine.Crashed(time.Now(), suspects, isolated))
@@ -95,8 +98,8 @@
 	e.announceState(endpoints.Gone)
 }
 
-// watch follows the upstream until the executor stops: it finds a crash while there are no calls, and the return of an
-// upstream that died.
+// monitorUpstream probes the upstream until the executor stops. It detects a crash while there are no calls, and
+// detects when a crashed upstream accepts connections again.
 func (e *executor) monitorUpstream() {
 	failures := 0
 	var acceptingSince time.Time
@@ -123,6 +126,7 @@
 	}
 }
 
+// checkServing probes a serving upstream and returns the number of consecutive failed probes.
 func (e *executor) checkServing(current *upstream, failures int) int {
 	if current.acceptsConnections(e.ctx) {
 		return 0
@@ -137,8 +141,9 @@
 	return failures
 }
 
-// watchDown puts an upstream back into service that accepts connections and reports itself healthy, or has accepted
-// connections for healthPatience. It returns since when connections are accepted.
+// checkDown puts an upstream back into service once it accepts connections and reports itself healthy, or has accepted
+// connections for maxUnhealthyTime. It returns the time since which the upstream accepts connections; zero if it does
+// not, or is back in service.
 func (e *executor) checkDown(current *upstream, acceptingSince time.Time) time.Time {
 	if !current.acceptsConnections(e.ctx) {
 		return time.Time{}
@@ -160,7 +165,7 @@
 	return time.Time{}
 }
 
-// announceState publishes the upstream. The lock is held.
+// announceState publishes the upstream's endpoint record with the given state. The caller holds e.mu.
 func (e *executor) announceState(state endpoints.State) {
 	e.announce(endpoints.Record{
 		Service: e.upstream.announcement.Service, State: state, Slots: e.upstream.announcement.Slots,
--- a/node/executor.go
+++ b/node/executor.go
@@ -23,17 +23,17 @@
 	logger      zerolog.Logger
 	ledger      *ledgerClient
 	quarantine  *quarantine.List
-	// service returns the settings of a service in the configuration in force.
+	// service returns a service as the configuration in force defines it.
 	service func(name string) (bundle.Service, bool)
-	// announce publishes the state of the upstream.
+	// announce publishes the upstream's endpoint record to the mesh.
 	announce func(endpoints.Record)
-	// publish spreads crash reports and clearances.
+	// publish distributes a crash report or clearance to all nodes.
 	publish        func(quarantine.Report)
 	metrics        *metrics
 	requestLog     *requestLog
 	dialect        *protocol.Dialect
 	healthInterval time.Duration
-	// background holds what outlives its caller: recording answers and probing.
+	// background runs work that outlives the call that started it: recording responses and probing.
 	background taskGroup
 	ctx        context.Context
 	stop       context.CancelFunc
@@ -42,41 +42,42 @@
 	upstream *upstream
 	state    upstreamState
 	queue    *admission.Queue
-	waiters  map[uint64]chan admission.Verdict
-	active   map[uint64]*activeCall
-	nextID   uint64
-	// claiming counts the irreversible calls between claim and slot.
+	// waiters holds the channel of each call that waits for a slot; active holds these calls and those that have one.
+	waiters map[uint64]chan admission.Verdict
+	active  map[uint64]*activeCall
+	nextID  uint64
+	// pendingClaims counts the irreversible calls that have sent their claim and do not run yet.
 	pendingClaims int
 	expiryTimer   *time.Timer
-	// crashCheck is open while a broken connection is being explained.
+	// crashCheck is set while the upstream is probed after a broken connection.
 	crashCheck    *crashCheck
 	lastHeartbeat heartbeatPosition
-	// settingsService is what runs beside the node until an upstream announces itself.
+	// configuredService is the service that the settings name; it is used until an upstream announces itself.
 	configuredService string
-	// departed is set once the upstream said that it is about to end; leaving once this process is.
+	// deregistered is set once the upstream has said that it is about to stop; stopping once this process is.
 	deregistered, stopping bool
-	// drained is the time at which the upstream began to leave.
+	// drainStarted is the time at which the current drain began.
 	drainStarted time.Time
 }
 
-// runningCall is a call that holds a slot.
+// activeCall is a call that waits for a slot or holds one; started is zero while it waits.
 type activeCall struct {
 	fingerprint quarantine.Fingerprint
 	exclusive   bool
 	started     time.Time
 }
 
-// place is a call's slot.
+// grantedSlot is a slot that a call holds on an upstream.
 type grantedSlot struct {
 	callID   uint64
 	upstream *upstream
 }
 
-// drainTolerance is how long after an upstream began to leave a call may still start: the refusal is local, so only
-// calls that were admitted at that very moment can.
+// drainTolerance is how long after the start of a drain a call may still start. This node itself refuses calls during
+// the drain, so only a call that was admitted just before can start late.
 const drainTolerance = 3 * time.Second
 
-// admit waits for a slot. On refusal the reason is set and the call was not run.
+// admit waits for a slot on the upstream. It returns a nil slot and the reason if the call is refused.
 func (e *executor) admit(ctx context.Context, meta *protocol.CallMetadata, deadline time.Time) (*grantedSlot, protocol.Reason) {
 	now := time.Now()
 	fingerprint := quarantine.Fingerprint(meta.Fingerprint)
@@ -117,7 +118,7 @@
 	return e.finishAdmission(ctx, id, target, verdict)
 }
 
-// unavailable returns why the upstream takes no calls. The lock is held.
+// unavailableReason returns why the upstream cannot take the call, or ReasonNone. The caller holds e.mu.
 func (e *executor) unavailableReason(meta *protocol.CallMetadata) protocol.Reason {
 	switch {
 	case e.state == upstreamDraining:
@@ -130,7 +131,7 @@
 	return protocol.ReasonNone
 }
 
-// await blocks until the queue decides or the caller leaves.
+// awaitVerdict blocks until the queue decides or the context ends.
 func (e *executor) awaitVerdict(ctx context.Context, id uint64, waiter chan admission.Verdict) admission.Verdict {
 	select {
 	case verdict := <-waiter:
@@ -150,6 +151,7 @@
 	return admission.Verdict{Action: admission.Shed, Reason: admission.ReasonDeadline}
 }
 
+// finishAdmission turns the queue's verdict into a slot or the reason of the refusal.
 func (e *executor) finishAdmission(
 	ctx context.Context, id uint64, target *upstream, verdict admission.Verdict,
 ) (*grantedSlot, protocol.Reason) {
@@ -162,7 +164,7 @@
 	}
 	if e.state == upstreamDraining {
 		invariant.Check(now.Sub(e.drainStarted) <= drainTolerance, invariant.LateDrainWork,
-			"a call starts on an upstream that is leaving", map[string]any{"since_ms": now.Sub(e.drainStarted).Milliseconds()})
+			"a call starts on a draining upstream", map[string]any{"since_ms": now.Sub(e.drainStarted).Milliseconds()})
 	}
 	if call := e.active[id]; call != nil {
 		call.started = now
@@ -183,7 +185,8 @@
 	}
 }
 
-// release gives a slot back. service is the time that the upstream spent on the call; 0 if it did not run.
+// releaseSlot returns a slot to the queue. serviceTime is the time that the upstream spent on the call; 0 if the call
+// did not run.
 func (e *executor) releaseSlot(slot *grantedSlot, serviceTime time.Duration) {
 	now := time.Now()
 	e.mu.Lock()
@@ -199,7 +202,8 @@
 	}
 }
 
-// decide hands out the queue's decisions and arms the timer for the next one. The lock is held.
+// applyDecisions delivers the queue's decisions to the waiting calls and sets the timer for the next expiry. The caller
+// holds e.mu.
 func (e *executor) applyDecisions(decisions []admission.Decision) {
 	for _, decision := range decisions {
 		waiter := e.waiters[decision.ID]
@@ -227,7 +231,7 @@
 	e.applyDecisions(e.queue.Expire(time.Now()))
 }
 
-// load returns the first-hand load for the ingress.
+// load returns the load of the upstream as measured by this node.
 func (e *executor) load() protocol.LoadReport {
 	e.mu.Lock()
 	load := e.queue.Load()
--- a/node/forwarding.go
+++ b/node/forwarding.go
@@ -17,31 +17,33 @@
 // hedgeMargin allows for jitter and one retransmission on the way to the executor and back.
 const hedgeMargin = 40 * time.Millisecond
 
-// forwarding carries out the plan of one call: one attempt, or a second one beside it, until one answers.
+// forwarder carries out the attempts of one call: the first one, a hedge beside it, and retries, as its plan decides.
 type forwarder struct {
 	call    *ingressCall
 	results chan attemptResult
 	random  rand.Source
-	// reached tells that an executor has the call: a second attempt would only add load.
+	// acknowledged is set once an executor has received the call; a hedge would then only add load.
 	acknowledged atomic.Bool
 
-	// mu guards the fields below against the hedge timer until the first attempt has ended; then the calling goroutine
-	// owns them.
+	// mu guards the fields below against the hedge timer. Once the first attempt has ended, only the calling goroutine
+	// uses them.
 	mu         sync.Mutex
 	plan       *forward.Call
 	firstEnded bool
 	tried      []string
-	// cancels ends the attempts, in the order in which they were started.
+	// cancels holds the cancel function of each attempt, in the order in which the attempts were started.
 	cancels []context.CancelFunc
 	pending int
-	// failed is an upstream's answer that it failed, which the caller gets if nothing better comes.
+	// failedResult holds a response by which an upstream reported its failure. The caller gets it if no other attempt
+	// succeeds.
 	failedResult *attemptResult
-	// last is why the latest attempt gave no answer.
+	// lastReason is why the latest attempt got no response.
 	lastReason protocol.Reason
-	// load is what the executor of that attempt reported.
+	// lastLoad is the load that the executor of that attempt reported.
 	lastLoad protocol.LoadReport
 }
 
+// run makes attempts until one gives the reply for the caller, the plan allows no more, or the context ends.
 func (f *forwarder) run(ctx context.Context) *callReply {
 	first, ok := f.startAttempt(ctx)
 	if !ok {
@@ -65,8 +67,8 @@
 	}
 }
 
-// runFirst runs the first attempt on the calling goroutine, which saves two switches between goroutines on most calls. A
-// hedge may start beside it.
+// runFirst runs the first attempt on the calling goroutine, which saves two goroutine switches on most calls. A hedge
+// may start beside it.
 func (f *forwarder) runFirst(ctx context.Context, first *attempt) attemptResult {
 	if f.call.node.options.NoHedging || !f.plan.MayHedge(time.Now()) {
 		return first.run()
@@ -82,7 +84,8 @@
 	return result
 }
 
-// hedge starts a second attempt unless an executor has shown that it has the call. An answer to it ends the first.
+// hedge starts a second attempt unless an executor has acknowledged the call. A response to the hedge cancels the
+// first attempt.
 func (f *forwarder) hedge(ctx context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,7 +107,7 @@
 	}()
 }
 
-// attempt is one try on one upstream.
+// attempt sends a call to one upstream.
 type attempt struct {
 	forwarder *forwarder
 	ctx       context.Context
@@ -112,7 +115,7 @@
 	target    balance.Target
 }
 
-// begin chooses an upstream that was not tried yet, if there is one.
+// startAttempt chooses an upstream that was not tried yet and prepares an attempt. It returns false if there is none.
 func (f *forwarder) startAttempt(ctx context.Context) (*attempt, bool) {
 	c := f.call
 	target, err := c.node.balancer.Pick(time.Now(), balance.Request{
@@ -141,7 +144,7 @@
 	return result
 }
 
-// handle takes the end of an attempt and starts the next one where the plan says so.
+// handleResult passes the result of an attempt to the plan and starts the next attempt if the plan asks for one.
 func (f *forwarder) handleResult(ctx context.Context, result attemptResult) forward.Action {
 	meta := &result.reply.metadata
 	decision := f.plan.Ended(time.Now(), forward.Result{
@@ -176,7 +179,7 @@
 	return forward.Wait
 }
 
-// final reports whether no other upstream can do better.
+// isFinal reports whether an attempt on another upstream would end with the same reason.
 func isFinal(reason protocol.Reason) bool {
 	switch reason {
 	case protocol.ReasonQuarantined, protocol.ReasonKeyReused, protocol.ReasonKeyExpired, protocol.ReasonCallerGone,
@@ -193,7 +196,7 @@
 	protocol.OutcomeUnknown: retry.Unknown,
 }
 
-// answer passes on the answer of one attempt and gives up the others.
+// complete returns the reply of one attempt and cancels the others. That attempt's context ends with the reply.
 func (f *forwarder) complete(result attemptResult) *callReply {
 	f.call.externalTime = result.externalTime
 	cancelOwn := f.cancels[result.index]
@@ -208,7 +211,7 @@
 	return result.reply
 }
 
-// fail ends a call without an answer.
+// fail ends a call that got no successful response.
 func (f *forwarder) fail() *callReply {
 	f.cancelAttempts(noAttempt)
 	if f.failedResult != nil {
@@ -222,10 +225,10 @@
 	return unknownReply(f.lastReason)
 }
 
-// noAttempt stands for no attempt at all.
+// noAttempt is an index that matches no attempt.
 const noAttempt = -1
 
-// abandon cancels all attempts but one.
+// cancelAttempts cancels all attempts except one, and discards their results as they come in.
 func (f *forwarder) cancelAttempts(except int) {
 	for index, cancel := range f.cancels {
 		if index != except {
@@ -237,7 +240,7 @@
 	}
 }
 
-// drain ends abandoned attempts when they come back.
+// discardResults waits for the results of canceled attempts and releases what they hold.
 func (f *forwarder) discardResults(count int) {
 	for range count {
 		result := <-f.results
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -2,8 +2,8 @@
 
 import "github.com/cockroachdb/errors"
 
-// Heartbeat is an announcement that an upstream repeats. Heartbeats may arrive late, out of order, or after a new
-// process has taken the address.
+// Heartbeat is an announcement that an upstream repeats periodically. Heartbeats may arrive late, out of order, or
+// after another process has taken over the upstream's address.
 type Heartbeat struct {
 	Announcement Announcement
 	// Sequence grows with each heartbeat of one incarnation.
@@ -12,18 +12,17 @@
 	Leaving bool
 }
 
-// ErrUnknownService reports a heartbeat for a service that the configuration does not know, or of an upstream that is
-// not beside this node.
-var ErrUnknownService = errors.New("node: heartbeat of a foreign upstream")
+// ErrUnknownService reports a heartbeat for a service that is in neither the settings nor the configuration in force.
+var ErrUnknownService = errors.New("node: heartbeat for a service that is not configured")
 
-// lineage orders what is known of the upstreams that were beside this node.
+// heartbeatPosition identifies the last accepted heartbeat: its upstream, incarnation and sequence number.
 type heartbeatPosition struct {
 	id          string
 	incarnation int64
 	sequence    uint64
 }
 
-// outdated reports whether a heartbeat was sent before the last one that was accepted.
+// supersedes reports whether a heartbeat was sent before the one at this position, or is the same one.
 func (p heartbeatPosition) supersedes(h Heartbeat) bool {
 	if h.Announcement.Incarnation != p.incarnation {
 		return h.Announcement.Incarnation < p.incarnation
@@ -31,7 +30,8 @@
 	return h.Announcement.ID == p.id && h.Sequence <= p.sequence
 }
 
-// Heartbeat takes a heartbeat of the upstream beside this node. One that was overtaken changes nothing and is no error.
+// Heartbeat processes a heartbeat of the upstream beside this node. It ignores a heartbeat that arrives after a later
+// one and returns no error for it.
 func (n *Node) Heartbeat(h Heartbeat) error {
 	if err := h.Announcement.Validate(); err != nil {
 		return err
@@ -42,16 +42,16 @@
 	return n.executor.heartbeat(h)
 }
 
-// DeregisterUpstream takes the message of an upstream that it is about to end. It serves on for a while without new calls. An
-// upstream that is not the present one has been replaced already.
+// DeregisterUpstream drains the upstream with the given ID, which is about to stop: its calls in flight finish and it
+// gets no new ones. It has no effect if another upstream has replaced that one.
 func (n *Node) DeregisterUpstream(id string) {
 	if n.executor.markDeregistered(id) {
 		n.executor.drain()
 	}
 }
 
-// knowsService reports whether an upstream of a service may be beside this node. Before the first configuration only
-// the one of the settings can be judged.
+// knowsService reports whether a service is in the settings or in the configuration in force. Before the first
+// configuration only the service of the settings is known.
 func (n *Node) knowsService(name string) bool {
 	if name == n.options.Service {
 		return true
@@ -64,6 +64,7 @@
 	return known
 }
 
+// heartbeat accepts the announcement of a heartbeat, or drains the upstream if it is leaving.
 func (e *executor) heartbeat(h Heartbeat) error {
 	e.mu.Lock()
 	if e.lastHeartbeat.supersedes(h) {
@@ -85,13 +86,13 @@
 		return nil
 	}
 	if h.Leaving {
-		// The upstream was not known before; it gets no calls.
+		// A leaving upstream that was never in service gets no calls.
 		return nil
 	}
 	return e.acceptAnnouncement(h.Announcement)
 }
 
-// departing notes that the present upstream is about to end.
+// markDeregistered marks the current upstream as about to stop. It returns false if it has another ID.
 func (e *executor) markDeregistered(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,7 +103,7 @@
 	return true
 }
 
-// localService returns the service that runs beside this node.
+// localService returns the service of the upstream beside this node.
 func (e *executor) localService() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -112,5 +113,5 @@
 	return e.configuredService
 }
 
-// Ready reports whether the node is ready for callers: a version is in force and the node is not leaving.
+// Ready reports whether the node is ready for callers: a version is in force and the node is not stopping.
 func (n *Node) Ready() bool { return n.snapshot.Load() != nil && !n.stopping.Load() }
--- a/node/ingress.go
+++ b/node/ingress.go
@@ -27,15 +27,16 @@
 )
 
 const (
-	// bufferedBytes is the largest body of a repeatable request that is held for a retry; longer ones are streamed.
+	// maxBufferedBytes is the largest body of a repeatable request that is kept in memory for a retry; longer bodies
+	// are streamed and sent once.
 	maxBufferedBytes = 64 << 10
-	// maxKeyBytes bounds the idempotency key, which the ledger keeps for days.
+	// maxKeyBytes bounds an idempotency key, which the ledger stores for days.
 	maxKeyBytes = 256
-	// maxAttemptsInFlight is the first attempt and one hedge.
+	// maxAttemptsInFlight counts the first attempt and one hedge.
 	maxAttemptsInFlight = 2
 )
 
-// ingressCall is one caller's request on its way through this node.
+// ingressCall is one caller's request while this node forwards it.
 type ingressCall struct {
 	node     *Node
 	started  time.Time
@@ -44,17 +45,18 @@
 	policy   *routePolicy
 	metadata protocol.CallMetadata
 	body     requestBody
-	// bounded reads the streamed rest of the body; nil for a body that is buffered whole.
+	// limitedBody reads the part of the body that is streamed; nil if the whole body is buffered.
 	limitedBody *maxBytesReader
 	deadline    time.Time
 	exclusive   bool
-	// tried lists the instances that the call was sent to, in order.
+	// tried lists the IDs of the instances to which the call was sent, in order.
 	tried []string
-	// elsewhere is the time of the last attempt outside our processes: the upstream's time and the zone links' delay.
+	// externalTime is the part of the last attempt that was not spent in sapphiregate's processes: the upstream's
+	// time and the delay of the links between zones.
 	externalTime time.Duration
 }
 
-// ServeHTTP takes callers' requests.
+// ServeHTTP serves callers' requests: it forwards each to an upstream and writes the outcome to the caller.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	started := time.Now()
 	if n.closeConnections.Load() {
@@ -83,7 +85,8 @@
 	call.writeReply(w, reply)
 }
 
-// prepare matches the request and reads what a retry needs.
+// prepare matches the request to a route, applies the route's call limit, reads the request's header and body, and
+// checks the quarantine. On refusal it returns the reason.
 func (n *Node) prepare(started time.Time, r *http.Request) (*ingressCall, protocol.Reason) {
 	current := n.snapshot.Load()
 	if current == nil {
@@ -110,6 +113,7 @@
 	return call, call.checkQuarantine()
 }
 
+// buildMetadata sets the call's deadline and the metadata that is sent to the executor.
 func (c *ingressCall) buildMetadata(r *http.Request) protocol.Reason {
 	dialect := &c.node.options.Dialect
 	depth, _ := strconv.Atoi(r.Header.Get(dialect.Depth))
@@ -132,7 +136,7 @@
 	for _, name := range []string{
 		dialect.Deadline, dialect.Depth, dialect.Retry, dialect.RequestID, dialect.ExpectUpstream,
 	} {
-		header.Del(name) // The executor sets these from the head.
+		header.Del(name) // The executor sets these from the metadata.
 	}
 	if dialect.CallerService != "" {
 		header[http.CanonicalHeaderKey(dialect.CallerService)] = []string{c.node.executor.localService()}
@@ -153,7 +157,7 @@
 	return protocol.ReasonNone
 }
 
-// requestURI returns the path and query as the caller wrote them.
+// requestURI returns the path and query exactly as the caller sent them.
 func requestURI(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -161,7 +165,8 @@
 	return r.URL.RequestURI()
 }
 
-// readBody buffers a short body, or all of it for an irreversible call, whose claim covers the body's digest.
+// readBody buffers up to maxBufferedBytes of the body and leaves the rest to be streamed. The body of an irreversible
+// call with a key is buffered whole, since its claim in the ledger contains the body's digest.
 func (c *ingressCall) readBody(r *http.Request) protocol.Reason {
 	limit := cmp.Or(c.route.MaxBodyBytes, c.snapshot.maxBodyBytes, c.node.options.Limits.MaxBodyBytes)
 	if r.ContentLength > limit {
@@ -195,11 +200,11 @@
 	return protocol.ReasonNone
 }
 
-// boundedReader fails once a body of unknown length turns out to be longer than the route allows.
+// maxBytesReader reads a body of unknown length and returns protocol.ErrTooLarge beyond the route's limit.
 type maxBytesReader struct {
 	reader    io.Reader
 	remaining int64
-	// exceeded tells the attempt, which runs on another goroutine, why the body broke off.
+	// exceeded is set when the limit is passed. The attempt reads it on another goroutine to report the reason.
 	exceeded atomic.Bool
 }
 
@@ -214,7 +219,7 @@
 	return n, err
 }
 
-// identify computes the request's digest and fingerprint and looks it up in the quarantine.
+// checkQuarantine computes the request's digest and fingerprint and looks the fingerprint up in the quarantine.
 func (c *ingressCall) checkQuarantine() protocol.Reason {
 	body := sha256.Sum256(c.body.prefix)
 	if c.metadata.Key != "" {
@@ -231,7 +236,7 @@
 	return protocol.ReasonNone
 }
 
-// requestDigest covers what makes two requests under one key the same request.
+// requestDigest hashes the fields by which two requests under one idempotency key count as the same request.
 func requestDigest(meta *protocol.CallMetadata, body [32]byte) [32]byte {
 	hash := sha256.New()
 	for _, field := range []string{meta.Service, meta.Method, meta.URI} {
@@ -244,15 +249,15 @@
 	return [32]byte(hash.Sum(nil))
 }
 
-// attemptResult is the end of one attempt.
+// attemptResult is the result of one attempt.
 type attemptResult struct {
 	index int
 	reply *callReply
-	// elsewhere is the time that the attempt spent outside our processes.
+	// externalTime is the part of the attempt that was not spent in sapphiregate's processes.
 	externalTime time.Duration
 }
 
-// forward tries upstreams until one answers or another attempt is not allowed.
+// forward sends the call to upstreams until one responds or no further attempt is allowed.
 func (c *ingressCall) forward(ctx context.Context) *callReply {
 	if !c.metadata.Retry {
 		c.policy.budget.Call(c.started)
@@ -261,24 +266,25 @@
 		Class: c.route.Class, Budget: c.policy.budget, Deadline: c.deadline, UnderRetry: c.metadata.Retry,
 		Resendable: c.body.buffered(), Alone: c.exclusive,
 	})
-	run := &forwarder{call: c, plan: plan, results: make(chan attemptResult, maxAttemptsInFlight)}
-	run.random = rand.NewPCG(rand.Uint64(), rand.Uint64())
-	return run.run(ctx)
+	f := &forwarder{call: c, plan: plan, results: make(chan attemptResult, maxAttemptsInFlight)}
+	f.random = rand.NewPCG(rand.Uint64(), rand.Uint64())
+	return f.run(ctx)
 }
 
-// attempt sends the call to one upstream and returns once its answer has begun.
+// attempt sends the call to one upstream and returns once its response has begun. It reports the result to the
+// balancer.
 func (c *ingressCall) attempt(
 	ctx context.Context, target balance.Target, isRetry bool, onAcknowledged func(),
 ) attemptResult {
 	now := time.Now()
-	head := c.metadata
-	// The answer needs the way back: one that ends later is of no use.
-	head.Remaining = c.deadline.Sub(now) - c.node.options.zoneDelay(target.Zone)
-	head.TargetRemaining = c.timeUntilTarget()
-	head.Incarnation = target.Incarnation
-	head.Exclusive = c.exclusive
-	head.Retry = c.metadata.Retry || isRetry
-	reply := c.node.send(ctx, target, &head, &c.body, onAcknowledged)
+	meta := c.metadata
+	// The response needs time for the way back: one that ends later reaches the caller after its deadline.
+	meta.Remaining = c.deadline.Sub(now) - c.node.options.zoneDelay(target.Zone)
+	meta.TargetRemaining = c.timeUntilTarget()
+	meta.Incarnation = target.Incarnation
+	meta.Exclusive = c.exclusive
+	meta.Retry = c.metadata.Retry || isRetry
+	reply := c.node.send(ctx, target, &meta, &c.body, onAcknowledged)
 	if c.limitedBody != nil && c.limitedBody.exceeded.Load() && reply.metadata.Outcome != protocol.OutcomeDone {
 		reply.metadata.Reason = protocol.ReasonTooLarge
 	}
@@ -290,7 +296,7 @@
 	return attemptResult{reply: reply, externalTime: externalTime}
 }
 
-// patience returns how much longer an answer has its full value; 0 if the route sets no target.
+// timeUntilTarget returns the time left until the route's latency target, at least 1 ms; 0 if the route sets none.
 func (c *ingressCall) timeUntilTarget() time.Duration {
 	if c.route.TargetMs == 0 {
 		return 0
@@ -299,6 +305,7 @@
 	return max(target-time.Since(c.started), time.Millisecond)
 }
 
+// balancerReport describes the result of an attempt to the balancer.
 func (c *ingressCall) balancerReport(ctx context.Context, reply *callReply, elapsed time.Duration) balance.Report {
 	report := balance.Report{
 		Outcome: balance.Completed, Latency: elapsed, Route: c.route.Name, ServiceTime: reply.metadata.Upstream,
@@ -309,7 +316,7 @@
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled), reply.metadata.Reason == protocol.ReasonTooLarge:
-		// The caller ended the call; this says nothing about the upstream.
+		// The call ended because of its caller, which says nothing about the upstream.
 		report.Outcome = balance.Canceled
 	case reply.metadata.Reason == protocol.ReasonNodeFailed, reply.metadata.Reason == protocol.ReasonUnreachable:
 		report.Outcome = balance.ConnectFailed
@@ -323,7 +330,8 @@
 	return report
 }
 
-// send runs a call on the upstream beside this node, or through the node beside another one.
+// send runs a call on the upstream beside this node, or sends it to the node beside another upstream. It calls
+// onAcknowledged once an executor has received the call.
 func (n *Node) send(
 	ctx context.Context, target balance.Target, meta *protocol.CallMetadata, body *requestBody, onAcknowledged func(),
 ) *callReply {
--- a/node/irreversible.go
+++ b/node/irreversible.go
@@ -16,44 +16,44 @@
 )
 
 const (
-	// ledgerTimeout bounds one message to the ledger; the machine sends it again if that is still useful.
+	// ledgerTimeout bounds one command to the ledger; the state machine repeats it as long as that is useful.
 	ledgerTimeout = 2 * time.Second
-	// lateAnswerTime is how long after the caller's deadline an upstream may still answer an irreversible call, so that
-	// the answer is recorded for a resend.
+	// lateResponseTime is how long after the caller's deadline an upstream may still respond to an irreversible call.
+	// Such a response is recorded and returned when the caller sends the request again.
 	lateResponseTime = 10 * time.Second
-	// maxOnceAnswerBytes bounds the answer of an irreversible call, which is held in memory until it is recorded.
+	// maxRecordedBodyBytes bounds the response body of an irreversible call, which stays in memory until recorded.
 	maxRecordedBodyBytes = 16 << 20
 )
 
-// errAnswerTooLarge reports an answer beyond maxOnceAnswerBytes.
-var errResponseTooLarge = errors.New("node: answer of an irreversible call is too large")
+// errResponseTooLarge reports a response body longer than maxRecordedBodyBytes.
+var errResponseTooLarge = errors.New("node: response to an irreversible call is longer than 16 MiB")
 
-// onceEvent is an input to the machine of an irreversible call.
+// stateMachineInput applies one input to the state machine of an irreversible call and returns its outputs.
 type stateMachineInput func(now time.Time) []execution.Output
 
-// onceCall drives the machine of one irreversible call. It outlives the caller: a claim is released or its answer
-// recorded whether or not anybody waits.
+// irreversibleCall runs the state machine of one irreversible call. It outlives the caller: the claim is released or
+// the response recorded even if the caller has gone.
 type irreversibleCall struct {
 	executor     *executor
 	head         *protocol.CallMetadata
 	body         *requestBody
 	deadline     time.Time
 	stateMachine *execution.StateMachine
-	// events is not buffered: an input that was taken is always handled, so that no slot is lost with it.
+	// inputs is not buffered: an input that was received is always handled, so that a slot that it carries is released.
 	inputs   chan stateMachineInput
 	finished chan struct{}
 	replies  chan *callReply
 
-	// The fields below belong to the driving goroutine.
+	// Only the goroutine that executes run uses the fields below.
 	slot        *grantedSlot
 	started     time.Time
 	serviceTime time.Duration
-	// refused is why the call was not admitted after its claim was granted.
+	// refusalReason is why the call got no slot after its claim was granted.
 	refusalReason protocol.Reason
 }
 
-// runOnce runs an irreversible call at most once. The claim comes before the slot: a slot that waits for a quorum commit
-// across zones would leave the upstream idle for that time.
+// runIrreversible runs an irreversible call at most once. It claims the key before it waits for a slot: a slot that is
+// held during a quorum commit across zones would leave the upstream idle for that time.
 func (e *executor) runIrreversible(
 	ctx context.Context, meta *protocol.CallMetadata, body *requestBody, deadline time.Time,
 ) *callReply {
@@ -88,8 +88,8 @@
 	return call.awaitReply()
 }
 
-// beginClaim returns the number of a new attempt, or why the call is refused. The calls between claim and slot are
-// bounded like a queue, so that an overload is refused before it reaches the ledger.
+// beginClaim returns the number of a new attempt, or why the call is refused. The calls that have sent their claim and
+// do not run yet are bounded by the queue limit, so that an overload is refused before it reaches the ledger.
 func (e *executor) beginClaim(meta *protocol.CallMetadata) (uint64, protocol.Reason) {
 	if e.quarantine.Verdict(time.Now(), quarantine.Fingerprint(meta.Fingerprint)) == quarantine.Refused {
 		return 0, protocol.ReasonQuarantined
@@ -107,6 +107,7 @@
 	return e.nextID, protocol.ReasonNone
 }
 
+// endClaim ends the part of a call that beginClaim has started.
 func (e *executor) endClaim() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -120,7 +121,7 @@
 	}
 }
 
-// lastAnswer waits for the machine's reply to the passed deadline.
+// awaitReply waits for the reply that the state machine gives after the deadline has passed.
 func (c *irreversibleCall) awaitReply() *callReply {
 	select {
 	case reply := <-c.replies:
@@ -131,12 +132,12 @@
 	case reply := <-c.replies:
 		return reply
 	default:
-		// The executor was stopped before the machine could answer.
+		// The executor was stopped before the state machine replied.
 		return unknownReply(protocol.ReasonNodeFailed)
 	}
 }
 
-// post hands an input to the driving goroutine. It returns false once the call is finished.
+// post passes an input to the goroutine that executes run. It returns false once the call is finished.
 func (c *irreversibleCall) post(input stateMachineInput) bool {
 	select {
 	case c.inputs <- input:
@@ -146,7 +147,7 @@
 	}
 }
 
-// drive carries out what the machine asks for until it is closed.
+// run passes inputs to the state machine and applies its outputs until the state machine is closed.
 func (c *irreversibleCall) run() {
 	defer close(c.finished)
 	defer c.releaseSlot()
@@ -190,6 +191,7 @@
 	}
 }
 
+// applyOutputs carries out the state machine's outputs.
 func (c *irreversibleCall) applyOutputs(outputs []execution.Output) {
 	for _, output := range outputs {
 		switch output := output.(type) {
@@ -211,7 +213,8 @@
 	}
 }
 
-// send commits a command in the background and delivers its result.
+// commitCommand commits a ledger command on another goroutine and posts its result, or the input that fail returns.
+// Without fail an error is dropped: the state machine repeats the command.
 func (c *irreversibleCall) commitCommand(
 	command ledger.Command,
 	deliver func(time.Time, ledger.Result) []execution.Output, fail func(error) stateMachineInput,
@@ -229,6 +232,7 @@
 	}()
 }
 
+// claimFailureInput tells a claim that was certainly not proposed from one that may have been committed.
 func (c *irreversibleCall) claimFailureInput(err error) stateMachineInput {
 	if errors.Is(err, errNotProposed) {
 		return c.stateMachine.ClaimRefused
@@ -236,7 +240,7 @@
 	return c.stateMachine.ClaimFailed
 }
 
-// takeSlot waits for a slot and then runs the call on the upstream.
+// acquireSlot waits for a slot on another goroutine and then starts the call on the upstream.
 func (c *irreversibleCall) acquireSlot() {
 	go func() {
 		ctx, cancel := context.WithDeadline(c.executor.ctx, c.deadline)
@@ -249,7 +253,7 @@
 	}()
 }
 
-// start writes the request, unless the call was not admitted or the machine no longer allows it.
+// startUpstreamCall sends the request, unless the call got no slot or the state machine no longer allows it.
 func (c *irreversibleCall) startUpstreamCall(now time.Time, slot *grantedSlot, reason protocol.Reason) []execution.Output {
 	c.slot = slot
 	if slot == nil {
@@ -271,7 +275,7 @@
 	return nil
 }
 
-// callUpstream sends the request once and returns the machine's input.
+// callUpstream sends the request once and returns the resulting input of the state machine.
 func (c *irreversibleCall) callUpstream(slot *grantedSlot) stateMachineInput {
 	ctx, cancel := context.WithDeadline(c.executor.ctx, c.deadline.Add(lateResponseTime))
 	defer cancel()
@@ -305,6 +309,7 @@
 	return func(now time.Time) []execution.Output { return c.stateMachine.UpstreamResponse(now, recorded) }
 }
 
+// readRecordedBody reads a whole body of at most maxRecordedBodyBytes.
 func readRecordedBody(body io.Reader) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(body, maxRecordedBodyBytes+1))
 	if err != nil {
@@ -328,6 +333,7 @@
 	execution.ReasonUpstream:   protocol.ReasonUpstreamFailed,
 }
 
+// replyFor translates the state machine's reply.
 func (c *irreversibleCall) replyFor(output execution.Reply) *callReply {
 	reason := executionReasons[output.Reason]
 	if output.Reason == execution.ReasonUpstream && c.refusalReason != protocol.ReasonNone {
@@ -336,7 +342,7 @@
 	switch output.Outcome {
 	case execution.OutcomeNotRun:
 		if reason == protocol.ReasonKeyExpired {
-			// What ran under this key is no longer known.
+			// The ledger no longer knows whether a request ran under this key.
 			return unknownReply(reason)
 		}
 		return notRunReply(reason)
@@ -347,7 +353,8 @@
 	}
 }
 
-// answerReply passes on a recorded answer.
+// recordedReply returns the reply for a response that the ledger has recorded. The status is 410 Gone if the ledger
+// has dropped the response's content.
 func recordedReply(recorded *ledger.Response) *callReply {
 	if recorded.Dropped {
 		return &callReply{metadata: protocol.ReplyMetadata{
--- a/node/ledger.go
+++ b/node/ledger.go
@@ -12,20 +12,20 @@
 	"sapphiregate.example/sapphiregate/transport/rpc"
 )
 
-// errLedger means that the ledger gave no answer: the command may or may not be committed.
-var errLedgerUncertain = errors.New("node: ledger gave no answer")
+// errLedgerUncertain means that the ledger did not confirm a command, which may or may not be committed.
+var errLedgerUncertain = errors.New("node: the ledger did not confirm the command")
 
-// errNotProposed means that no member accepted the command: it was surely not proposed.
+// errNotProposed means that no member accepted the command: it is certain that it was not proposed.
 var errNotProposed = errors.New("node: no control member accepted the command")
 
 const (
-	// ledgerAttemptTimeout bounds one proposal, so that a leader that was cut off is given up for another member.
+	// ledgerAttemptTimeout bounds one proposal, so that another member is tried if the leader is cut off.
 	ledgerAttemptTimeout = time.Second
 	ledgerRetryDelay     = 20 * time.Millisecond
 )
 
-// ledgerClient sends commands to the leaders of the ledger groups. Commands are idempotent, so a lost answer is asked
-// for again by sending the command again. It is safe for concurrent use.
+// ledgerClient sends commands to the leaders of the ledger groups. Commands are idempotent, so a command whose reply is
+// lost is sent again. It is safe for concurrent use.
 type ledgerClient struct {
 	pool *rpc.Pool
 	// members returns the known addresses of control members.
@@ -36,7 +36,8 @@
 	leaders []string
 }
 
-// do commits a command and returns its result. It tries until the context ends.
+// commit commits a command and returns its result. It retries until the context ends, and then returns errNotProposed
+// or errLedgerUncertain.
 func (c *ledgerClient) commit(ctx context.Context, key string, command ledger.Command) (ledger.Result, error) {
 	data, err := protocol.Marshal(command)
 	if err != nil {
@@ -47,7 +48,7 @@
 	for try := 0; ; try++ {
 		address := c.chooseMember(key, try)
 		if address == "" {
-			return ledger.Result{}, errors.Wrap(errNotProposed, "none is known")
+			return ledger.Result{}, errors.Wrap(errNotProposed, "no member is known")
 		}
 		reply, err := c.propose(ctx, address, request)
 		c.updateLeader(key, address, reply)
@@ -77,7 +78,8 @@
 	return c.pool.Propose(ctx, address, request)
 }
 
-// choose returns the leader of the key's group if it is known, otherwise the members in turn.
+// chooseMember returns the leader of the key's group if it is known, otherwise the members in turn. It returns "" if no
+// member is known.
 func (c *ledgerClient) chooseMember(key string, try int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +95,8 @@
 	return members[try%len(members)]
 }
 
-// learn keeps the leader that answered or that a member named, and forgets one that gave no useful answer.
+// updateLeader stores the leader that applied a command or that a member named, and removes one that gave neither
+// reply.
 func (c *ledgerClient) updateLeader(key, address string, reply *protocol.ProposeReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,6 +117,7 @@
 	c.leaders[protocol.LedgerIndex(key, len(c.leaders))] = leader
 }
 
+// sleep waits for the duration or until the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/node/liveness.go
+++ b/node/liveness.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// pingTimeout is how long an instance may take to respond to a probe, beside the way to its zone and back. It covers the
-	// queues of a saturated link of 1.4 Mbit/s and of a node with 0.16 of a core: a shorter one takes calls away from
-	// instances that are only slow, and both attempts then run.
+	// pingTimeout is how long an instance may take to respond to a probe, in addition to the delay to its zone and
+	// back. It covers the queues of a saturated link of 1.4 Mbit/s and of a node with 0.16 of a core. A shorter timeout
+	// takes calls away from instances that are only slow, and both attempts then run.
 	pingTimeout = time.Second
-	// suspension keeps calls away from a failed instance. Each further probe without a response renews it.
+	// suspensionTime is how long a failed instance gets no calls. Each further probe without a response renews it.
 	suspensionTime = 2 * time.Second
 )
 
-// liveness detects instances that do not respond and takes calls away from them. Package detector decides; this type has the
-// timers, sends the probes and carries out what follows from them.
+// liveness detects instances that do not respond and takes calls away from them. Package detector makes the decisions;
+// this type runs the timers, sends the probes and applies the results.
 type liveness struct {
 	balancer  *balance.Balancer
 	calls     *rpc.Pool
 	zoneDelay func(zone string) time.Duration
 	logger    zerolog.Logger
-	// probes makes a new connection for each probe of a failed instance: one that was open when power was lost or a link
-	// was cut may stay without traffic after the recovery.
+	// probes opens a new connection for each probe of a failed instance. A connection that was open when the instance
+	// lost power or a link was cut may carry no traffic after the recovery.
 	probes *rpc.Pool
 
 	mu        sync.Mutex
@@ -40,29 +40,30 @@
 	nextCall  uint64
 }
 
-// instance is what a node knows of another one that it sends calls to.
+// remoteInstance is the state of another node to which this node sends calls.
 type remoteInstance struct {
 	target   balance.Target
 	detector detector.Detector
 	timer    *time.Timer
-	// repeatable holds the calls that may be sent to another instance; irreversible ones wait for their answer.
+	// repeatable holds the cancel functions of the calls that may be sent to another instance. Irreversible calls wait
+	// for their response.
 	repeatable map[uint64]context.CancelFunc
 }
 
-// pendingCall is a call that waits for a response.
+// pendingCall is a call that waits for a response from a remote instance.
 type pendingCall struct {
 	liveness *liveness
 	instance *remoteInstance
 	callID   uint64
 }
 
-// sent notes a call. cancel ends it so that it can be sent elsewhere.
+// trackCall records that a call was sent. cancel ends the call, so that it can be sent to another instance.
 func (l *liveness) trackCall(target balance.Target, class bundle.Class, cancel context.CancelFunc) *pendingCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.instances[target.ID]
 	if known != nil && known.target.Incarnation != target.Incarnation {
-		// The former process is gone, and its connection may stay open.
+		// The instance has restarted; the connection to its former process may still be open.
 		l.calls.Forget(known.target.Address)
 		known = nil
 	}
@@ -79,7 +80,7 @@
 	return &pendingCall{liveness: l, instance: known, callID: l.nextCall}
 }
 
-// heard notes that the instance has responded.
+// responded records that the instance has responded.
 func (p *pendingCall) responded() {
 	l := p.liveness
 	l.mu.Lock()
@@ -87,7 +88,7 @@
 	l.applyChange(p.instance, p.instance.detector.ResponseReceived(time.Now()))
 }
 
-// end notes that the call no longer waits.
+// finish records that the call no longer waits for a response.
 func (p *pendingCall) finish() {
 	l := p.liveness
 	l.mu.Lock()
@@ -96,11 +97,11 @@
 	delete(p.instance.repeatable, p.callID)
 }
 
-// arm sets the timer for the next probe. A timer that runs is left as it is: it looks again when it fires. The lock is
-// held.
+// armTimer sets the timer for the next probe. A timer that already runs is kept: probeIfDue sets the next one when it
+// fires. The caller holds l.mu.
 func (l *liveness) armTimer(i *remoteInstance) {
 	if i.timer != nil || l.stopped {
-		return // This is the case for most calls; Next looks at all that wait.
+		return // This saves most calls the cost of Next, which examines all waiting calls.
 	}
 	next, ok := i.detector.NextProbe()
 	if !ok {
@@ -109,7 +110,7 @@
 	i.timer = time.AfterFunc(max(time.Until(next), 0), func() { l.probeIfDue(i) })
 }
 
-// check probes the instance if a probe is due.
+// probeIfDue probes the instance if a probe is due, and sets the timer for the next one.
 func (l *liveness) probeIfDue(i *remoteInstance) {
 	l.mu.Lock()
 	i.timer = nil
@@ -136,7 +137,7 @@
 	l.armTimer(i)
 }
 
-// probe reports whether the process that the calls were sent to responds.
+// probe reports whether the process to which the calls were sent responds.
 func (l *liveness) probe(target balance.Target, failed bool) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout+2*l.zoneDelay(target.Zone))
 	defer cancel()
@@ -149,7 +150,8 @@
 	return err == nil && reply.Incarnation == target.Incarnation
 }
 
-// apply carries out a change. The lock is held.
+// applyChange cancels the repeatable calls to an instance that has failed, or resumes one that has recovered. The
+// caller holds l.mu.
 func (l *liveness) applyChange(i *remoteInstance, change detector.Change) {
 	switch change {
 	case detector.Failed:
@@ -162,7 +164,7 @@
 		l.logger.Info().Str("to", i.target.ID).Str("zone", i.target.Zone).Msg("instance responds again")
 		l.balancer.Resume(i.target)
 		if i.detector.WaitingCalls() == 0 {
-			// After a cut, an old connection sends again only after a pause that has grown to seconds.
+			// After a link was cut, TCP's retransmission timeout on an old connection has grown to seconds.
 			l.calls.Forget(i.target.Address)
 		}
 	}
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -18,7 +18,7 @@
 	addedSignificantDigits = 2
 )
 
-// metrics are the counters and histograms of one node; docs/observability.md describes each.
+// metrics holds the counters and histograms of one node; docs/observability.md describes each.
 type metrics struct {
 	registry *telemetry.Registry
 
@@ -35,7 +35,8 @@
 	activations        prometheus.Counter
 	linesDropped       prometheus.Counter
 
-	// added gives exact quantiles for the dump; those of a scraper's buckets are a factor of two apart.
+	// added provides quantiles for the dump. It is more exact than the buckets of addedTime, which are a factor of two
+	// apart.
 	mu    sync.Mutex
 	added *hdrhistogram.Histogram
 }
@@ -63,7 +64,7 @@
 	}
 }
 
-// observeState adds what is read from the node when it is scraped.
+// observeState adds the gauges that read the node's state when they are scraped.
 func (m *metrics) observeState(n *Node) {
 	m.registry.Gauge("version", "Version in force; 0 if there is none.", func() float64 { return float64(n.Version()) })
 	load := func(read func(protocol.LoadReport) int) func() float64 {
@@ -88,7 +89,7 @@
 	_ = m.added.RecordValue(min(max(added.Microseconds(), 1), maxAddedMicros))
 }
 
-// addedQuantiles describes the time that calls spent in our processes.
+// addedQuantiles describes the time that calls spent in sapphiregate's processes.
 type addedQuantiles struct {
 	Count     int64 `json:"count"`
 	P50Micros int64 `json:"p50_micros"`
--- a/node/node.go
+++ b/node/node.go
@@ -1,5 +1,6 @@
-// Package node is the process beside an upstream. It takes callers' requests, runs calls on its upstream, and follows
-// the control members for configuration. One goroutine owns the control state; traffic reads immutable snapshots.
+// Package node implements the process beside an upstream. Its ingress forwards callers' requests to the upstreams of
+// the mesh, its executor runs calls on the upstream beside it, and it receives configuration from the control members.
+// One goroutine owns the control state; traffic reads immutable snapshots.
 package node
 
 import (
@@ -27,23 +28,23 @@
 	"sapphiregate.example/sapphiregate/transport/rpc"
 )
 
-// Options sets up a node.
+// Options configures a node.
 type Options struct {
-	// ID names the instance and stays the same across restarts.
+	// ID identifies the instance and stays the same across restarts.
 	ID   string
 	Zone string
 	// Callers, Mesh and Admin are open listeners; the node closes them.
 	Callers net.Listener
 	Mesh    net.Listener
 	Admin   net.Listener
-	// Advertise is the mesh address that others dial; empty takes the listener's address.
+	// Advertise is the mesh address that other processes dial; if empty, the address of the Mesh listener.
 	Advertise string
-	// Members lists mesh addresses of control members.
+	// Members lists the mesh addresses of control members.
 	Members []string
-	// Join lists further mesh addresses to join by.
+	// Join lists further mesh addresses by which the node can join the mesh.
 	Join []string
 	Keys relay.Verifier
-	// Identity secures connections between processes; nil switches TLS off.
+	// Identity is this process's TLS identity for connections between processes; nil switches TLS off.
 	Identity *rpc.Identity
 	// ControlDialer, LedgerDialer and CallDialer open connections; nil dials TCP.
 	ControlDialer rpc.Dialer
@@ -53,32 +54,32 @@
 	ZoneDelay func(zone string) time.Duration
 	Policy    balance.Policy
 	Limits    Limits
-	// Dialect names the headers of callers and upstreams; the zero value takes protocol.DefaultDialect.
+	// Dialect names the header fields that callers and upstreams use; the zero value means protocol.DefaultDialect.
 	Dialect protocol.Dialect
-	// Service is what runs beside the node until an upstream announces itself.
+	// Service is the service beside the node; an upstream that announces itself replaces it.
 	Service string
-	// NoHedging switches second attempts beside a slow first one off.
+	// NoHedging disables hedging: a second attempt beside a slow first one.
 	NoHedging bool
 	Logger    zerolog.Logger
-	// OnApplied is told of every pointer swap, on the control goroutine; it may be nil.
+	// OnApplied is called on the control goroutine after each activation of a bundle; it may be nil.
 	OnApplied func(approval bundle.Approval, b *bundle.Bundle, at time.Time)
-	// Relay overrides the limits of the distribution tree; zero fields take the defaults.
+	// Relay overrides the limits of the distribution tree; zero fields mean the defaults.
 	Relay relay.Config
 }
 
-// Limits bounds the resources of a node. Zero fields take the defaults.
+// Limits bounds the resources of a node. Zero fields mean the defaults.
 type Limits struct {
 	// MaxCalls bounds the callers' requests in flight.
 	MaxCalls int
 	// MaxHeaderBytes bounds the header of a request.
 	MaxHeaderBytes int
-	// MaxBodyBytes bounds the bodies on routes without a bound of their own.
+	// MaxBodyBytes bounds request bodies on routes that set no limit.
 	MaxBodyBytes int64
-	// LeaveNotice is the time for which a stopping node still takes requests, after it has said that it is not ready.
-	// It is what callers need to notice that.
+	// LeaveNotice is how long a stopping node still accepts requests after it has begun to report that it is not
+	// ready, so that callers have time to notice.
 	LeaveNotice time.Duration
-	// HealthInterval is the time between two looks at a serving upstream, which find a crash while there are no calls. A
-	// negative value switches them off, for upstreams that announce themselves again and again.
+	// HealthInterval is the time between two probes of a serving upstream, which detect a crash while there are no
+	// calls. A negative value disables them, for upstreams that send heartbeats.
 	HealthInterval time.Duration
 }
 
@@ -105,16 +106,17 @@
 }
 
 const (
-	// readHeaderTimeout bounds how long a caller may hold a connection without a request.
+	// readHeaderTimeout bounds how long a caller may take to send a request's header.
 	readHeaderTimeout = 10 * time.Second
 	callerIdleTimeout = 2 * time.Minute
-	// departureTime lets the announcement of a leaving node spread before it closes its listener.
+	// drainAnnouncementTime lets the announcement of a drain reach the other nodes before callers are told to close
+	// their connections. It also bounds the wait for Follow streams.
 	drainAnnouncementTime = 300 * time.Millisecond
-	// lingerTime lets callers notice that this node leaves before it closes their connections.
+	// connectionCloseTime lets callers close their connections before the node does.
 	connectionCloseTime = 500 * time.Millisecond
 )
 
-// Node is one running node.
+// Node is the process beside one upstream.
 type Node struct {
 	options     Options
 	id          string
@@ -129,16 +131,16 @@
 	snapshot   atomic.Pointer[snapshot]
 	requests   requestTracker
 	requestLog *requestLog
-	// leaving tells callers to close their connections.
+	// closeConnections makes responses ask callers to close their connections.
 	closeConnections atomic.Bool
-	// stopping makes the node not ready.
+	// stopping makes the node report that it is not ready.
 	stopping atomic.Bool
 	metrics  *metrics
 
 	controlPool *rpc.Pool
 	ledgerPool  *rpc.Pool
 	calls       *rpc.Pool
-	// probes has the connections for probes of failed instances.
+	// probes holds the connections for probes of failed instances.
 	probes   *rpc.Pool
 	liveness *liveness
 	mesh     *rpc.Server
@@ -150,14 +152,14 @@
 	// tasks are the serving goroutines and the control goroutine.
 	tasks sync.WaitGroup
 
-	// The fields below belong to the control goroutine. changedIDs and refreshAll are what the balancer has not been
-	// told yet.
+	// Only the control goroutine uses the fields below. changedIDs and refreshAll describe the changes that the
+	// balancer has not been told yet.
 	changedIDs     map[string]bool
 	refreshAll     bool
 	knownEndpoints map[string]knownEndpoint
 }
 
-// New prepares a node with empty memory.
+// New returns a node that has no configuration and does not serve yet.
 func New(options Options) *Node {
 	now := time.Now()
 	if options.Advertise == "" {
@@ -202,6 +204,7 @@
 	return n
 }
 
+// createTransports creates the connection pools and the mesh server.
 func (n *Node) createTransports() {
 	var transport credentials.TransportCredentials
 	if n.options.Identity != nil {
@@ -227,7 +230,7 @@
 	return config
 }
 
-// Start begins to serve. Callers get "not ready" answers until a version is in force.
+// Start begins to serve. Requests are refused with the reason "not-ready" until a version is in force.
 func (n *Node) Start() {
 	n.tasks.Go(func() { n.control.Run(n.ctx) })
 	n.tasks.Go(n.executor.monitorUpstream)
@@ -246,16 +249,18 @@
 
 func isClosed(err error) bool { return err == http.ErrServerClosed }
 
-// Stop leaves gracefully: the node is no longer ready, the upstream is announced as leaving and its calls in flight
-// finish, callers are told to close their connections while their requests are still served through other nodes, the
-// listeners close, and the answers of irreversible calls are recorded. It gives up when the context ends. Each step is
-// taken even if the one before it gave up, and the records come last: an unreachable ledger must not cut off requests.
+// Stop shuts the node down gracefully. The node reports that it is not ready, announces that its upstream is draining
+// and lets the calls in flight finish. Callers are told to close their connections, and their requests are still served
+// through other nodes until the listeners close. Then the responses of irreversible calls are recorded.
+//
+// A step that is not complete when the context ends is given up, and the following steps are still taken. Recording
+// comes last, so that an unreachable ledger does not cut off requests. The error says whether a step was given up.
 func (n *Node) Stop(ctx context.Context) error {
 	n.stopping.Store(true)
 	n.executor.drainForStop()
 	noticeEnd := time.Now().Add(n.options.Limits.LeaveNotice)
 	sleep(ctx, drainAnnouncementTime)
-	// Closing an idle connection can meet a request that is already on its way, so callers close theirs first.
+	// A request may already be in transit on an idle connection that this node closes, so callers close theirs first.
 	n.closeConnections.Store(true)
 	err := n.executor.waitIdle(ctx)
 	sleep(ctx, max(connectionCloseTime, time.Until(noticeEnd)))
@@ -264,17 +269,17 @@
 	err = errors.CombineErrors(err, n.executor.background.wait(ctx))
 	n.mesh.GracefulStop(withFollowStopTimeout(ctx))
 	n.Kill()
-	return errors.Wrap(err, "node: stop gave up on calls or on records of their answers")
+	return errors.Wrap(err, "node: stopped before all calls ended and their responses were recorded")
 }
 
-// shortly bounds the wait for Follow streams of children, which do not end by themselves.
+// withFollowStopTimeout bounds the wait for the Follow streams of children, which do not end by themselves.
 func withFollowStopTimeout(ctx context.Context) context.Context {
 	bounded, cancel := context.WithTimeout(ctx, drainAnnouncementTime)
 	context.AfterFunc(bounded, cancel)
 	return bounded
 }
 
-// Kill ends the node at once, as a crash would.
+// Kill stops the node at once, as a crash would.
 func (n *Node) Kill() {
 	n.cancel()
 	n.executor.close()
@@ -297,15 +302,15 @@
 	return 0
 }
 
-// AcceptUpstream takes an announcement from settings, for an upstream that does not announce itself.
+// AcceptUpstream announces an upstream from the settings, for one that does not announce itself.
 func (n *Node) AcceptUpstream(announcement Announcement) error {
 	return n.executor.acceptAnnouncement(announcement)
 }
 
-// SetJoin replaces the addresses by which the node finds the group.
+// SetJoin replaces the addresses by which the node joins the mesh.
 func (n *Node) SetJoin(addresses []string) {
 	n.control.Post(func(time.Time) { n.peer.SetJoin(addresses) })
 }
 
-// Follow serves the children of this node in the distribution tree.
+// Follow serves a child of this node in the distribution tree.
 func (n *Node) Follow(stream rpc.FollowServerStream) error { return n.control.Follow(stream) }
--- a/node/reply.go
+++ b/node/reply.go
@@ -7,40 +7,41 @@
 	"sapphiregate.example/sapphiregate/protocol"
 )
 
-// requestBody is the body of a call: buffered whole, or a buffered start with more to stream.
+// requestBody is the body of a call. It is either buffered whole, or consists of a buffered prefix and a rest that is
+// streamed.
 type requestBody struct {
-	// start holds the whole body unless rest is set.
+	// prefix is the start of the body; it is the whole body if rest is nil.
 	prefix []byte
-	// rest yields what follows start; nil for a body that is buffered whole.
+	// rest reads what follows prefix; nil if the body is buffered whole.
 	rest io.Reader
-	// trailer is complete once rest is read to its end.
+	// trailer is complete once rest has been read to its end.
 	trailer http.Header
 }
 
-// whole reports whether the body is buffered, so that the call can be sent again.
+// buffered reports whether the whole body is in memory, so that the call can be sent again.
 func (b *requestBody) buffered() bool { return b.rest == nil }
 
-// replyStream yields the rest of a long answer in frames; the last one is marked.
+// replyStream returns the rest of a long response in frames; the last one is marked.
 type replyStream interface {
-	// Next returns the next frame. An error other than io.EOF means that the answer was cut; io.EOF never precedes a
-	// frame that is marked as the last.
+	// Next returns the next frame. An error other than io.EOF means that the response was truncated; io.EOF never
+	// precedes a frame that is marked as the last.
 	Next() (*protocol.ReplyFrame, error)
-	// Close gives up the rest of the answer.
+	// Close discards the rest of the response.
 	Close()
 }
 
-// reply is an executor's answer to one call.
+// callReply is an executor's reply to one call.
 type callReply struct {
 	metadata protocol.ReplyMetadata
 	// body is the whole body, or its start if stream is set.
 	body    []byte
 	trailer http.Header
 	stream  replyStream
-	// done is called once the answer has been passed on or given up.
+	// onFinish is called once the reply has been written or discarded.
 	onFinish func()
 }
 
-// afterwards adds what is to be done once the answer has been passed on or given up.
+// addOnFinish adds a function that finish calls before those that were added earlier.
 func (r *callReply) addOnFinish(do func()) *callReply {
 	previous := r.onFinish
 	r.onFinish = func() {
@@ -52,6 +53,7 @@
 	return r
 }
 
+// finish closes the stream and calls the functions of addOnFinish.
 func (r *callReply) finish() {
 	if r.stream != nil {
 		r.stream.Close()
@@ -61,17 +63,17 @@
 	}
 }
 
-// failedByUpstream reports whether the answer says that the upstream ran the call and failed.
+// failedByUpstream reports whether the upstream ran the call and responded with a server error.
 func (r *callReply) failedByUpstream() bool {
 	return r.metadata.Outcome == protocol.OutcomeDone && r.metadata.Status >= http.StatusInternalServerError
 }
 
-// refusal is the reply to a call that was not run.
+// notRunReply returns the reply to a call that was not run.
 func notRunReply(reason protocol.Reason) *callReply {
 	return &callReply{metadata: protocol.ReplyMetadata{Outcome: protocol.OutcomeNotRun, Reason: reason}}
 }
 
-// uncertain is the reply to a call that may have run.
+// unknownReply returns the reply to a call that may have run.
 func unknownReply(reason protocol.Reason) *callReply {
 	return &callReply{metadata: protocol.ReplyMetadata{Outcome: protocol.OutcomeUnknown, Reason: reason}}
 }
--- a/node/request_tracker.go
+++ b/node/request_tracker.go
@@ -7,9 +7,9 @@
 	"sapphiregate.example/sapphiregate/protocol"
 )
 
-// gate counts the callers' requests in this process, so that a stop can wait for them.
+// requestTracker counts the callers' requests in flight. It bounds their number and lets a stop wait for them.
 type requestTracker struct {
-	// limit bounds the requests inside.
+	// limit is the highest number of requests in flight.
 	limit int
 
 	mu       sync.Mutex
@@ -18,7 +18,7 @@
 	idle     chan struct{}
 }
 
-// enter lets a request in, or says why not. The caller must call leave at the end of a request that was let in.
+// admit counts a request, or returns why it is refused. The caller must call done at the end of an admitted request.
 func (g *requestTracker) admit() protocol.Reason {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// drain closes the gate and waits until nobody is inside.
+// drain refuses further requests and waits until none is in flight, or until the context ends.
 func (g *requestTracker) drain(ctx context.Context) error {
 	g.mu.Lock()
 	if !g.closed {
--- a/node/requestlog.go
+++ b/node/requestlog.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// failureRate and failureBurst bound the lines about requests that failed. Under overload nearly every request may be
-	// refused; a part of them shows the cause, and the counters hold the numbers.
+	// failureRate (lines per second) and failureBurst (lines) bound the lines about failed requests. Under overload
+	// nearly every request may be refused; some of them are enough to show the cause, and the metrics count them all.
 	failureRate  = 20
 	failureBurst = 100
-	// One request in sampleShare is followed although it succeeds, up to sampleRate lines a second, so that there is a
-	// good request to compare a failed one with. Samples have a bound of their own and never displace failures.
+	// One in sampleShare successful requests is logged, up to sampleRate lines per second, so that a failed request can
+	// be compared with a successful one. Samples have their own limit and never displace failures.
 	sampleShare = 64
 	sampleRate  = 5
 	sampleBurst = 10
 )
 
-// requestLog writes one line for each decision about a request that failed, and about a sample of the others: what was
-// decided, by what, and how old that was.
+// requestLog writes one line for each decision about a failed request, and about a sample of the others: what was
+// decided, from which state, and how old that state was.
 type requestLog struct {
 	logger   zerolog.Logger
 	failures rateLimitedLines
@@ -43,17 +43,18 @@
 	}
 }
 
-// boundedLines bounds the rate of one kind of lines.
+// rateLimitedLines bounds the rate of one kind of log lines.
 type rateLimitedLines struct {
 	limiter *rate.Limiter
-	// total counts the lines that were left out; nil if they are not worth counting.
+	// droppedTotal counts the lines that were dropped; nil for samples, whose drops are neither counted nor logged.
 	droppedTotal prometheus.Counter
 
 	mu      sync.Mutex
 	dropped int
 }
 
-// line returns an event that says how many lines were left out before it, or nil if there is no room for another one.
+// event returns a log event, or nil if the limit is reached. If droppedTotal is set, the event contains the number of
+// lines that were dropped before it.
 func (b *rateLimitedLines) event(logger zerolog.Logger) *zerolog.Event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -72,7 +73,8 @@
 	return event
 }
 
-// about returns an event for a decision about a request, or nil if it is not logged. All processes sample the same requests.
+// event returns a log event for a decision about a request, or nil if the decision is not logged. The sample depends
+// only on the request, so that all processes log the same requests.
 func (l *requestLog) event(request string, failed bool) *zerolog.Event {
 	var event *zerolog.Event
 	switch {
@@ -87,7 +89,7 @@
 	return event.Str("request", request)
 }
 
-// ended reports the end of a request at the node that took it in.
+// requestEnded logs the end of a request at its ingress.
 func (l *requestLog) requestEnded(c *ingressCall, reply *callReply) {
 	meta := &reply.metadata
 	failed := meta.Outcome != protocol.OutcomeDone || reply.failedByUpstream()
@@ -109,7 +111,7 @@
 		Msg(message)
 }
 
-// refused reports a request that was not let in.
+// requestRefused logs a request that was not admitted.
 func (l *requestLog) requestRefused(r *http.Request, n *Node, reason protocol.Reason) {
 	event := l.event(r.Header.Get(n.options.Dialect.RequestID), true)
 	if event == nil {
@@ -120,7 +122,7 @@
 		Msg(logging.RequestRefused)
 }
 
-// repeated reports that an attempt failed and another one follows.
+// attemptFailed logs that an attempt failed and another one follows after a pause.
 func (l *requestLog) attemptFailed(c *ingressCall, failed *callReply, instance string, pause time.Duration) {
 	event := l.event(requestID(&c.metadata), true)
 	if event == nil {
@@ -133,7 +135,7 @@
 		Msg(logging.AttemptFailed)
 }
 
-// call reports the end of a call at the node beside the upstream. waited is the time until it had a slot or was refused.
+// callEnded logs the end of a call at its executor. waited is the time until the call got a slot or was refused.
 func (l *requestLog) callEnded(meta *protocol.CallMetadata, reply *callReply, waited time.Duration) {
 	failed := reply.metadata.Outcome != protocol.OutcomeDone || reply.failedByUpstream()
 	event := l.event(requestID(meta), failed)
@@ -157,5 +159,5 @@
 		Msg(message)
 }
 
-// requestID returns the caller's name for the request, or its idempotency key.
+// requestID returns the caller's ID of the request or, if it has none, the idempotency key.
 func requestID(meta *protocol.CallMetadata) string { return cmp.Or(meta.RequestID, meta.Key) }
--- a/node/response.go
+++ b/node/response.go
@@ -16,13 +16,14 @@
 	"sapphiregate.example/sapphiregate/state/ledger"
 )
 
-// PathOutcome is where callers ask again for the outcome of an irreversible request, with the query parameter "key".
+// PathOutcome is the path at which callers ask for the outcome of an earlier irreversible request; the query parameter
+// "key" is its idempotency key.
 const PathOutcome = "/.sapphire/outcome"
 
-// outcomeTimeout bounds a question for an outcome.
+// outcomeTimeout bounds a query to the ledger for an outcome.
 const outcomeTimeout = 2 * time.Second
 
-// refusalStatus maps reasons of requests that were not run to HTTP status codes; others get 503.
+// refusalStatusCodes maps the reasons of requests that were not run to HTTP status codes; all others get 503.
 var refusalStatusCodes = map[protocol.Reason]int{
 	protocol.ReasonNoRoute:    http.StatusNotFound,
 	protocol.ReasonShed:       http.StatusTooManyRequests,
@@ -34,7 +35,7 @@
 	protocol.ReasonTooDeep:    http.StatusLoopDetected,
 }
 
-// advice tells a caller what to do.
+// reasonTexts explains reasons to callers and says what they can do.
 var reasonTexts = map[protocol.Reason]string{
 	protocol.ReasonNoRoute:     "no route of the configuration in force matches this request",
 	protocol.ReasonNotReady:    "this node has no configuration yet; try another node",
@@ -52,8 +53,8 @@
 	protocol.ReasonTooDeep:     "the chain of calls is too deep",
 }
 
-// refuse answers a request that this node did not let in. A request with an idempotency key may have run at an earlier
-// attempt, so the ledger is asked before the caller is told that it was not run.
+// refuse responds to a request that this node did not admit. A request with an idempotency key may have run at an
+// earlier attempt, so the ledger is queried before the caller is told that it was not run.
 func (n *Node) refuse(w http.ResponseWriter, r *http.Request, reason protocol.Reason) {
 	n.metrics.refusedRequests.WithLabelValues(string(reason)).Inc()
 	n.requestLog.requestRefused(r, n, reason)
@@ -73,8 +74,8 @@
 	n.writeOutcome(w, reply.metadata.Outcome, reply.metadata.Reason, refusalStatusCode(reason), protocol.LoadReport{})
 }
 
-// confirm asks the ledger before an irreversible call is reported as not run: an earlier attempt of the caller under
-// the same key may have run.
+// confirmNotRun queries the ledger before an irreversible call is reported as not run, because an earlier attempt of
+// the caller under the same key may have run.
 func (c *ingressCall) confirmNotRun(ctx context.Context, reply *callReply) *callReply {
 	if c.metadata.Key == "" || reply.metadata.Outcome != protocol.OutcomeNotRun ||
 		reply.metadata.Reason == protocol.ReasonKeyReused {
@@ -85,9 +86,9 @@
 	return c.node.lookUpOutcome(context.WithoutCancel(ctx), query, reply.metadata.Reason)
 }
 
-// confirmNotRun turns a refusal into what the ledger knows: the recorded answer, "unknown" if an attempt holds the claim
-// or the ledger cannot be asked, or "not run". An attempt that still waits elsewhere without a claim is not seen; it
-// ends with its caller's connection or its deadline.
+// lookUpOutcome returns what the ledger knows of a refused request: the recorded response, "unknown" if an attempt
+// holds the claim or the ledger is not reachable, or "not run" with the given reason. It does not see an attempt that
+// waits on another node without a claim; such an attempt ends with its caller's connection or at its deadline.
 func (n *Node) lookUpOutcome(ctx context.Context, query ledger.Query, reason protocol.Reason) *callReply {
 	ctx, cancel := context.WithTimeout(ctx, outcomeTimeout)
 	defer cancel()
@@ -121,6 +122,7 @@
 	return http.StatusServiceUnavailable
 }
 
+// writeOutcome writes a response without an upstream's body: the outcome, its reason and, if a retry can help, when.
 func (n *Node) writeOutcome(
 	w http.ResponseWriter, outcome protocol.Outcome, reason protocol.Reason, status int, load protocol.LoadReport,
 ) {
@@ -142,7 +144,8 @@
 	fmt.Fprintf(w, "%s: %s\n", outcome, text)
 }
 
-// retryCauses tells when a refused request can succeed; other reasons mean that the upstreams are full.
+// retryCauses maps reasons to the causes that determine Retry-After; all other reasons mean that the upstreams are
+// full.
 var retryCauses = map[protocol.Reason]retry.Cause{
 	protocol.ReasonUpstreamRefused: retry.CauseFaulty,
 	protocol.ReasonUnreachable:     retry.CauseFaulty,
@@ -158,7 +161,7 @@
 	}
 }
 
-// formatRetryAfter writes whole seconds, as the standard wants them, unless the callers understand fractions.
+// formatRetryAfter formats whole seconds, as HTTP requires, or fractions if the dialect allows them.
 func (n *Node) formatRetryAfter(after time.Duration) string {
 	if n.options.Dialect.FractionalRetryAfter {
 		return strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
@@ -166,7 +169,7 @@
 	return strconv.Itoa(int(math.Ceil(after.Seconds())))
 }
 
-// write passes the reply on to the caller.
+// writeReply writes the reply to the caller.
 func (c *ingressCall) writeReply(w http.ResponseWriter, reply *callReply) {
 	header := w.Header()
 	if c.node.options.Dialect.Verdicts {
@@ -206,8 +209,8 @@
 	}
 }
 
-// writeAnswer passes on a whole answer. The caller's connection is aborted if a streamed answer is cut, so that no
-// caller takes a part for the whole.
+// writeResponse writes an upstream's response to the caller. It aborts the caller's connection if a streamed response
+// is truncated, so that the caller does not take it for complete.
 func (c *ingressCall) writeResponse(w http.ResponseWriter, reply *callReply) {
 	header := w.Header()
 	for name, values := range reply.metadata.Header {
@@ -229,8 +232,8 @@
 		w.WriteHeader(reply.metadata.Status)
 		return
 	}
-	// Trailers that are known before the header keep net/http from giving a short answer a Content-Length, with which
-	// it could not send them.
+	// Trailers that are set before the header is written keep net/http from adding a Content-Length to a short
+	// response, which would exclude trailers.
 	setTrailers(header, reply.trailer)
 	w.WriteHeader(reply.metadata.Status)
 	if _, err := w.Write(reply.body); err != nil {
@@ -270,7 +273,7 @@
 		status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// setCallHeaders sets what an upstream needs to make calls of its own under this one.
+// setCallHeaders sets the header fields that an upstream needs to make further calls on behalf of this one.
 func (e *executor) setCallHeaders(
 	header http.Header, target *upstream, meta *protocol.CallMetadata, remaining time.Duration,
 ) {
@@ -291,7 +294,7 @@
 	}
 }
 
-// serveOutcome answers a caller that asks again for the outcome of an irreversible request.
+// serveOutcome responds to a caller that asks for the outcome of an earlier irreversible request.
 func (n *Node) serveOutcome(w http.ResponseWriter, r *http.Request) {
 	key := r.URL.Query().Get("key")
 	if key == "" || len(key) > maxKeyBytes {
@@ -309,12 +312,12 @@
 	case result.Status == ledger.Released:
 		n.writeOutcome(w, protocol.OutcomeNotRun, protocol.ReasonNone, http.StatusConflict, protocol.LoadReport{})
 	default:
-		// An absent key may belong to a request that is still on its way to its executor.
+		// The request of an absent key may still be in transit to its executor.
 		n.writeOutcome(w, protocol.OutcomeUnknown, protocol.ReasonInProgress, http.StatusAccepted, protocol.LoadReport{})
 	}
 }
 
-// writeRecorded passes on an answer from the ledger.
+// writeRecordedResponse writes a response that the ledger has recorded.
 func writeRecordedResponse(w http.ResponseWriter, reply *callReply) {
 	for name, values := range reply.metadata.Header {
 		w.Header()[name] = values
--- a/node/run.go
+++ b/node/run.go
@@ -15,10 +15,11 @@
 	"sapphiregate.example/sapphiregate/transport/web"
 )
 
-// inlineBytes is the largest answer that is checked as a whole before its first byte is passed on.
+// maxBufferedResponseBytes is the largest response body that is read to its end before the reply is sent, so that a
+// truncated response is detected before the caller gets a part of it.
 const maxBufferedResponseBytes = 64 << 10
 
-// run carries out one call. The context ends when the caller leaves or the deadline passes.
+// run executes one call on the upstream. The context ends when the caller disconnects or the deadline passes.
 func (e *executor) run(ctx context.Context, meta *protocol.CallMetadata, body *requestBody) *callReply {
 	receivedAt := time.Now()
 	deadline := receivedAt.Add(meta.Remaining)
@@ -30,7 +31,7 @@
 	return e.reportCall(meta, e.runWithoutKey(ctx, meta, body, deadline).addOnFinish(cancel), receivedAt)
 }
 
-// report adds the upstream's load to an answer, and counts and logs the call.
+// reportCall adds the upstream's load to the reply, and counts and logs the call.
 func (e *executor) reportCall(meta *protocol.CallMetadata, reply *callReply, receivedAt time.Time) *callReply {
 	reply.metadata.Load = e.load()
 	switch {
@@ -43,9 +44,9 @@
 	return reply
 }
 
-// runUnrecorded runs a lookup or report, or an irreversible call without a key, which the ingress sends to another
-// upstream only after a refusal. A call of the latter kind is not broken off once it runs: its caller may have left, but
-// half of an irreversible request helps nobody.
+// runWithoutKey runs a lookup or report, or an irreversible call on a keyless route, which the ingress sends to another
+// upstream only after a refusal. Such an irreversible call is not canceled once it runs, even if its caller has
+// disconnected: a request that was executed in part would be worse.
 func (e *executor) runWithoutKey(
 	ctx context.Context, meta *protocol.CallMetadata, body *requestBody, deadline time.Time,
 ) *callReply {
@@ -55,13 +56,13 @@
 	}
 	if meta.Class == bundle.ClassIrreversible {
 		detached, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
-		// The rest of a long answer is read after this function has returned.
+		// The rest of a long response is read after this function has returned.
 		return e.exchange(detached, meta, body, slot, deadline).addOnFinish(cancel)
 	}
 	return e.exchange(ctx, meta, body, slot, deadline)
 }
 
-// exchange sends a call that has a slot to its upstream.
+// exchange sends a call that has a slot to the upstream and returns the reply.
 func (e *executor) exchange(
 	ctx context.Context, meta *protocol.CallMetadata, body *requestBody, slot *grantedSlot, deadline time.Time,
 ) *callReply {
@@ -75,7 +76,7 @@
 	if !e.dialect.Genuine(request.Header, response.Response.Header, response.Response.StatusCode) {
 		response.Discard()
 		defer e.releaseSlot(slot, 0)
-		return e.failedReply(ctx, slot, errors.Wrap(web.ErrCut, "the answer does not belong to the request"))
+		return e.failedReply(ctx, slot, errors.Wrap(web.ErrCut, "the response does not belong to the request"))
 	}
 	if e.dialect.Refused(response.Response.StatusCode, response.Response.Header) {
 		response.Response.Body.Close()
@@ -85,7 +86,7 @@
 	return e.forwardResponse(ctx, meta, slot, started, response)
 }
 
-// relayAnswer buffers a short answer whole, or streams a long one.
+// forwardResponse buffers a response of up to maxBufferedResponseBytes and streams a longer one.
 func (e *executor) forwardResponse(
 	ctx context.Context, meta *protocol.CallMetadata, slot *grantedSlot, started time.Time, response *web.UpstreamAnswer,
 ) *callReply {
@@ -111,8 +112,8 @@
 	return reply
 }
 
-// readStart reads up to inlineBytes and reports whether the body ended there. net/http reports a body that is shorter
-// than announced as an error.
+// readPrefix reads up to one byte more than maxBufferedResponseBytes and reports whether the body is complete. net/http
+// returns an error for a body that is shorter than announced.
 func readPrefix(body io.Reader) (prefix []byte, complete bool, err error) {
 	buffer := bytes.NewBuffer(make([]byte, 0, bytes.MinRead))
 	_, err = buffer.ReadFrom(io.LimitReader(body, maxBufferedResponseBytes+1))
@@ -122,6 +123,7 @@
 	return buffer.Bytes(), buffer.Len() <= maxBufferedResponseBytes, nil
 }
 
+// upstreamRequest builds the request that is sent to the upstream.
 func (e *executor) upstreamRequest(
 	target *upstream, meta *protocol.CallMetadata, body *requestBody, deadline time.Time,
 ) web.UpstreamRequest {
@@ -153,7 +155,7 @@
 func responseMetadata(method string, response *web.UpstreamAnswer) protocol.ReplyMetadata {
 	header := web.CopyHeader(response.Response.Header)
 	if response.Response.ContentLength >= 0 && bodyAllowed(method, response.Response.StatusCode) {
-		header.Del("Content-Length") // The ingress sets it from the head.
+		header.Del("Content-Length") // The ingress sets it from the metadata.
 	}
 	return protocol.ReplyMetadata{
 		Outcome:       protocol.OutcomeDone,
@@ -163,7 +165,7 @@
 	}
 }
 
-// failed turns a failed exchange with the upstream into a reply.
+// failedReply returns the reply after a failed exchange with the upstream. It checks whether the upstream has crashed.
 func (e *executor) failedReply(ctx context.Context, slot *grantedSlot, err error) *callReply {
 	if errors.Is(err, web.ErrNotWritten) {
 		e.startCrashCheck(slot)
@@ -182,7 +184,7 @@
 	return reply
 }
 
-// succeeded clears a suspicion against the request.
+// clearSuspicion tells the quarantine that the request has run without a crash.
 func (e *executor) clearSuspicion(meta *protocol.CallMetadata) {
 	report, changed := e.quarantine.Succeeded(time.Now(), quarantine.Fingerprint(meta.Fingerprint))
 	if changed {
@@ -190,12 +192,12 @@
 	}
 }
 
-// upstreamStream passes on a long answer.
+// upstreamStream reads the rest of a long response from the upstream.
 type upstreamStream struct {
 	response *http.Response
 }
 
-// Next reads the next part of the body.
+// Next reads the next part of the body into a frame.
 func (s *upstreamStream) Next() (*protocol.ReplyFrame, error) {
 	buffer := make([]byte, protocol.ChunkBytes)
 	n, last, err := readChunk(s.response.Body, buffer)
@@ -209,8 +211,8 @@
 	return frame, nil
 }
 
-// readChunk reads what is available. Unlike io.ReadFull it tells a body that ended from one that was cut, which
-// net/http reports as io.ErrUnexpectedEOF.
+// readChunk reads what is available. Unlike io.ReadFull it distinguishes a complete body from a truncated one, for
+// which net/http returns io.ErrUnexpectedEOF.
 func readChunk(body io.Reader, buffer []byte) (n int, last bool, err error) {
 	for n == 0 {
 		n, err = body.Read(buffer)
@@ -224,5 +226,5 @@
 	return n, false, nil
 }
 
-// Close gives up the rest of the answer.
+// Close discards the rest of the response.
 func (s *upstreamStream) Close() { s.response.Body.Close() }
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -12,23 +12,24 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// snapshot is the configuration that traffic reads. It is immutable once it is published, apart from the counters of
-// its budgets and limiters, which are safe for concurrent use.
+// snapshot is the configuration in force as the ingress and the executor read it. It is immutable once published,
+// apart from the counters of its budgets and limiters, which are safe for concurrent use.
 type snapshot struct {
 	version  uint64
 	digest   bundle.Digest
 	routes   *routing.Table
 	services map[string]bundle.Service
-	// maxBodyBytes bounds the bodies on routes without a bound of their own; 0 leaves that to the settings.
+	// maxBodyBytes bounds request bodies on routes that set no limit; 0 means that Limits.MaxBodyBytes applies.
 	maxBodyBytes int64
 	policies     map[string]*routePolicy
 	since        time.Time
 }
 
-// maxSkippedTurns spreads the turns of split routes over processes.
+// maxSplitOffset bounds the random position at which a process starts in the sequence of a split route, so that the
+// processes do not all send their first calls to the same service.
 const maxSplitOffset = 100
 
-// routePolicy holds what a route needs per call.
+// routePolicy holds the retry budget, header fields, call limit and traffic split of a route.
 type routePolicy struct {
 	budget  *retry.Budget
 	headers map[string]string
@@ -36,8 +37,8 @@
 	split   *routing.Splitter
 }
 
-// newSnapshot builds the traffic view of a bundle. Policies of unchanged routes are kept from the previous snapshot,
-// so that a new version does not refill budgets and limiters.
+// newSnapshot builds the snapshot of a bundle. It keeps budgets and limiters of unchanged routes from the previous
+// snapshot, so that a new version does not refill them.
 func newSnapshot(now time.Time, approval bundle.Approval, b *bundle.Bundle, previous *snapshot) (*snapshot, error) {
 	routes, err := routing.New(b)
 	if err != nil {
--- a/node/task_group.go
+++ b/node/task_group.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// background counts goroutines that outlive the call which started them. Unlike sync.WaitGroup it may be waited for
-// while others still start: a stop waits for recordings while the last calls arrive.
+// taskGroup counts goroutines that outlive the call that started them. Unlike with sync.WaitGroup, start and wait may
+// be called concurrently: a stop waits for responses to be recorded while the last calls still arrive.
 type taskGroup struct {
 	mu     sync.Mutex
 	count  int
 	closed bool
-	// empty is closed when the count reaches 0; nil while nobody waits.
+	// idle is closed when count reaches 0; nil while no goroutine waits.
 	idle chan struct{}
 }
 
@@ -60,7 +60,7 @@
 	}
 }
 
-// close refuses further goroutines and waits for those that run.
+// close makes start return false and waits for the goroutines that run.
 func (b *taskGroup) close() {
 	b.mu.Lock()
 	b.closed = true
--- a/node/upstream.go
+++ b/node/upstream.go
@@ -12,7 +12,7 @@
 	"sapphiregate.example/sapphiregate/transport/web"
 )
 
-// ErrAnnouncement reports an announcement that cannot be accepted.
+// ErrAnnouncement reports an announcement that is malformed or has a field outside its bounds.
 var ErrAnnouncement = errors.New("node: invalid announcement")
 
 // Bounds of an announcement.
@@ -22,7 +22,7 @@
 	defaultConnections      = 100
 )
 
-// Announcement is what an upstream tells the node beside it, by PUT to PathUpstream.
+// Announcement describes an upstream to the node beside it, by PUT to PathUpstream.
 type Announcement struct {
 	Service     string `json:"service"`
 	Address     string `json:"address"`
@@ -30,13 +30,13 @@
 	Connections int    `json:"connections,omitempty"`
 	HealthPath  string `json:"health_path,omitempty"`
 	LoadPath    string `json:"load_path,omitempty"`
-	// ID names the upstream process, for upstreams that refuse requests meant for another one.
+	// ID identifies the upstream process, for upstreams that refuse requests meant for another one.
 	ID string `json:"id,omitempty"`
-	// Incarnation is the start of the upstream in Unix milliseconds; of two announcements the later start holds.
+	// Incarnation is the start time of the upstream in Unix milliseconds; the announcement with the later start counts.
 	Incarnation int64 `json:"incarnation,omitempty"`
 }
 
-// Validate returns ErrAnnouncement with all faults.
+// Validate returns nil, or ErrAnnouncement with all invalid fields.
 func (a Announcement) Validate() error {
 	var err error
 	add := func(field, allowed string) {
@@ -57,14 +57,14 @@
 	return err
 }
 
-// upstreamState is what the node knows about its upstream.
+// upstreamState is the state of the upstream beside the node.
 type upstreamState uint8
 
 const (
 	// upstreamAbsent: no upstream has announced itself.
 	upstreamAbsent upstreamState = iota
 	upstreamServing
-	// upstreamDown: the upstream refuses connections; it is probed until it accepts them.
+	// upstreamDown: the upstream does not accept connections; it is probed until it does.
 	upstreamDown
 	upstreamDraining
 )
@@ -75,17 +75,18 @@
 }
 
 const (
-	// probeInterval is the time between two probes of an upstream that refuses connections.
+	// probeInterval is the time between two probes of an upstream that is down.
 	probeInterval = 200 * time.Millisecond
 	probeTimeout  = 300 * time.Millisecond
-	// healthPatience bounds how long a bad health report keeps an upstream that accepts connections out of service:
-	// health reports lag or mislead.
+	// maxUnhealthyTime bounds how long a failed health check keeps an upstream that accepts connections out of service:
+	// health checks can be late or wrong.
 	maxUnhealthyTime = 5 * time.Second
-	// watchFailures tolerates a connection that is lost or slow to open on a busy instance.
+	// probeFailureThreshold is the number of consecutive failed probes after which a serving upstream counts as
+	// crashed. One probe may fail because a connection is lost or slow to open on a busy instance.
 	probeFailureThreshold = 2
 )
 
-// upstream is one announced upstream.
+// upstream is an announced upstream and the client for its connections.
 type upstream struct {
 	announcement Announcement
 	client       *web.UpstreamClient
@@ -102,14 +103,14 @@
 	}
 }
 
-// accepts reports whether the upstream accepts connections.
+// acceptsConnections reports whether the upstream accepts connections.
 func (u *upstream) acceptsConnections(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return u.client.Probe(ctx) == nil
 }
 
-// healthy asks the upstream's health page, if it has one.
+// healthy reports whether the upstream's health check succeeds, or true if it announced no health path.
 func (u *upstream) healthy(ctx context.Context) bool {
 	if u.announcement.HealthPath == "" {
 		return true
@@ -120,11 +121,11 @@
 	return err == nil && status < http.StatusMultipleChoices
 }
 
-// maxReportBytes bounds the pages that an upstream reports on itself.
+// maxReportBytes bounds the responses of an upstream's health and load paths.
 const maxReportBytes = 4 << 10
 
-// selfReport reads the upstream's own load page for the dump. Decisions use only what the node knows at first hand,
-// since load pages lag or mislead.
+// selfReport reads the upstream's load path for the dump. Decisions use only what the node itself measures, since
+// self-reported load can be late or wrong.
 func (u *upstream) selfReport(ctx context.Context) json.RawMessage {
 	if u.announcement.LoadPath == "" {
 		return nil
