--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -20,9 +20,9 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// BenchmarkCall measures one lookup through a node on loopback: to the upstream beside the ingress ("local") and through
-// the node beside another one ("remote"), with the endpoint table at three sizes. It reports quantiles of the time in
-// our processes beside the time and allocations of the whole call.
+// BenchmarkCall measures one lookup through a node on loopback: to the upstream beside the ingress ("local") and
+// through the node beside another upstream ("remote"), with three sizes of the endpoint table. Besides the time and
+// allocations of the whole call, it reports quantiles of the time spent in sapphiregate's processes.
 func BenchmarkCall(b *testing.B) {
 	for _, path := range []string{"local", "remote"} {
 		for _, known := range []int{10, 1_000, 16_000} {
--- a/node/executor.go
+++ b/node/executor.go
@@ -78,11 +78,13 @@
 const drainTolerance = 3 * time.Second
 
 // admit waits for a slot on the upstream. It returns a nil slot and the reason if the call is refused.
-func (e *executor) admit(ctx context.Context, meta *protocol.CallMetadata, deadline time.Time) (*grantedSlot, protocol.Reason) {
+func (e *executor) admit(
+	ctx context.Context, meta *protocol.CallMetadata, deadline time.Time,
+) (*grantedSlot, protocol.Reason) {
 	now := time.Now()
 	fingerprint := quarantine.Fingerprint(meta.Fingerprint)
-	quarantined := e.quarantine.Verdict(now, fingerprint)
-	if quarantined == quarantine.Refused {
+	quarantineVerdict := e.quarantine.Verdict(now, fingerprint)
+	if quarantineVerdict == quarantine.Refused {
 		return nil, protocol.ReasonQuarantined
 	}
 	e.mu.Lock()
@@ -92,7 +94,7 @@
 	}
 	e.nextID++
 	id := e.nextID
-	call := &activeCall{fingerprint: fingerprint, exclusive: meta.Exclusive || quarantined == quarantine.Exclusive}
+	call := &activeCall{fingerprint: fingerprint, exclusive: meta.Exclusive || quarantineVerdict == quarantine.Exclusive}
 	ticket := admission.Ticket{
 		ID: id, Class: meta.Class, Priority: meta.Priority, Route: meta.Route, Deadline: deadline, Exclusive: call.exclusive,
 	}
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -8,7 +8,7 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// PutInForce stores the snapshot of a bundle, without a bundle from the distribution tree.
+// PutInForce activates a bundle that does not come from the distribution tree.
 func (n *Node) PutInForce(approval bundle.Approval, b *bundle.Bundle) error {
 	next, err := newSnapshot(time.Now(), approval, b, n.snapshot.Load())
 	if err != nil {
@@ -26,7 +26,8 @@
 	return record, ok && record.Service != ""
 }
 
-// MergeEndpoint merges a record into the endpoint table, as one from the distribution tree, and hands it to the balancer.
+// MergeEndpoint merges a record into the endpoint table, like one from the distribution tree, and passes it to the
+// balancer.
 func (n *Node) MergeEndpoint(record endpoints.Record) error {
 	return n.control.Query(context.Background(), func(now time.Time) {
 		n.peer.Table().Merge([]endpoints.Record{record})
@@ -42,7 +43,8 @@
 	return len(n.executor.active)
 }
 
-// BlockRecording stands for the record of an answer that the ledger does not take: it lasts until the node ends.
+// BlockRecording starts a background task that lasts until the node stops, like recording a response while the ledger
+// is unreachable.
 func (n *Node) BlockRecording() {
 	n.executor.background.start(func() { <-n.executor.ctx.Done() })
 }
--- a/node/forwarding.go
+++ b/node/forwarding.go
@@ -119,8 +119,8 @@
 func (f *forwarder) startAttempt(ctx context.Context) (*attempt, bool) {
 	c := f.call
 	target, err := c.node.balancer.Pick(time.Now(), balance.Request{
-		Service: c.metadata.Service, Route: c.route.Name, Zone: c.route.Zone, Exclude: f.tried, Rand: f.random, TargetRemaining: c.timeUntilTarget(),
-		MeetTargetOnly: f.lastReason == protocol.ReasonShed,
+		Service: c.metadata.Service, Route: c.route.Name, Zone: c.route.Zone, Exclude: f.tried, Rand: f.random,
+		TargetRemaining: c.timeUntilTarget(), MeetTargetOnly: f.lastReason == protocol.ReasonShed,
 	})
 	if err != nil {
 		f.lastReason = cmp.Or(f.lastReason, protocol.ReasonNoUpstream)
--- a/node/forwarding_test.go
+++ b/node/forwarding_test.go
@@ -17,20 +17,20 @@
 	"sapphiregate.example/sapphiregate/protocol"
 )
 
-// cut sends part of an answer of the announced length and closes the connection.
-func sendTruncated(w http.ResponseWriter, sent, announced int) {
-	w.Header().Set("Content-Length", strconv.Itoa(announced))
-	_, _ = w.Write(make([]byte, sent))
+// sendTruncated sends part of a response of the announced length and closes the connection.
+func sendTruncated(w http.ResponseWriter, sentLength, announcedLength int) {
+	w.Header().Set("Content-Length", strconv.Itoa(announcedLength))
+	_, _ = w.Write(make([]byte, sentLength))
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-var _ = Describe("answers and requests", func() {
+var _ = Describe("forwarding of requests and responses", func() {
 	for _, remote := range []bool{false, true} {
 		path := map[bool]string{false: "on the local upstream", true: "through another node"}[remote]
 		Context(path, func() {
-			// Guards against a part of an answer that is taken for the whole.
-			It("passes no truncated answer on as whole", func() {
+			// Guards against callers that take a truncated response for a complete one.
+			It("never forwards a truncated response as complete", func() {
 				f := newFixture(remote, newFakeLedger().server.Address(), 4, func(w http.ResponseWriter, r *http.Request) {
 					switch r.URL.Path {
 					case "/lookup/short":
@@ -38,7 +38,7 @@
 					case "/lookup/long":
 						sendTruncated(w, 200_000, 400_000)
 					default:
-						// Without an announced length, only the missing last chunk tells that the answer was cut.
+						// Without an announced length, only the missing last chunk shows the truncation.
 						_, _ = w.Write(make([]byte, 200_000))
 						_ = http.NewResponseController(w).Flush()
 						panic(http.ErrAbortHandler)
@@ -54,11 +54,11 @@
 			})
 
 			// Guards against lost or reordered parts of streamed bodies, and lost trailers.
-			DescribeTable("passes bodies with trailers whole",
-				func(requestSize, answerSize int) {
+			DescribeTable("forwards bodies and trailers unchanged",
+				func(requestSize, responseSize int) {
 					var got []byte
 					var trailer string
-					want := bytes.Repeat([]byte("fedcba9876543210"), answerSize/16)
+					want := bytes.Repeat([]byte("fedcba9876543210"), responseSize/16)
 					f := newFixture(remote, newFakeLedger().server.Address(), 4,
 						func(w http.ResponseWriter, r *http.Request) {
 							got, _ = io.ReadAll(r.Body)
@@ -67,21 +67,22 @@
 							_, _ = w.Write(want)
 							w.Header().Set("X-Sum", "answer")
 						})
-					answer := f.send(context.Background(), "/lookup", newChunkedBody(requestSize))
-					Expect(answer.err).NotTo(HaveOccurred())
-					Expect(answer.status).To(Equal(http.StatusOK), "%s", answer.body)
+					response := f.send(context.Background(), "/lookup", newChunkedBody(requestSize))
+					Expect(response.err).NotTo(HaveOccurred())
+					Expect(response.status).To(Equal(http.StatusOK), "%s", response.body)
 					sent, _ := io.ReadAll(newChunkedBody(requestSize))
 					Expect(bytes.Equal(got, sent)).To(BeTrue())
-					Expect(bytes.Equal(answer.body, want)).To(BeTrue())
+					Expect(bytes.Equal(response.body, want)).To(BeTrue())
 					Expect(trailer).To(Equal("request"))
-					Expect(answer.trailer.Get("X-Sum")).To(Equal("answer"))
+					Expect(response.trailer.Get("X-Sum")).To(Equal("answer"))
 				},
 				Entry("short", 160, 160),
 				Entry("long", 640_000, 640_000),
 				Entry("at the bound of a buffered body", 64<<10, 64<<10),
 			)
 
-			// Guards against bodies beyond the route's bound: refused before a run, or cut off if their length shows late.
+			// Guards against running requests whose body exceeds the route's limit, even if its length is unknown until
+			// its end.
 			It("refuses oversized bodies", func() {
 				var runs atomic.Int32
 				f := newFixture(remote, newFakeLedger().server.Address(), 4, func(_ http.ResponseWriter, r *http.Request) {
@@ -99,8 +100,8 @@
 				Expect(runs.Load()).To(BeZero())
 			})
 
-			// Guards against connection fields that cross a hop, deadlines that grow and depths that do not.
-			It("passes on end-to-end fields only, and counts deadline and depth", func() {
+			// Guards against forwarding hop-by-hop fields, deadlines that grow with each call and depths that do not.
+			It("forwards end-to-end fields only, reduces the deadline and increases the depth", func() {
 				var seen http.Header
 				f := newFixture(remote, newFakeLedger().server.Address(), 4, func(w http.ResponseWriter, r *http.Request) {
 					seen = r.Header.Clone()
@@ -126,8 +127,8 @@
 				Expect(deep.status).To(Equal(http.StatusLoopDetected))
 			})
 
-			// Guards against slots and upstream work that are held for callers that are gone.
-			It("cancels the lookup of a caller that leaves", func() {
+			// Guards against slots and upstream work that are kept for callers that have disconnected.
+			It("cancels the lookup of a caller that disconnects", func() {
 				started, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 				f := newFixture(remote, newFakeLedger().server.Address(), 1, func(w http.ResponseWriter, r *http.Request) {
 					if r.URL.Path == "/lookup/slow" {
@@ -147,7 +148,7 @@
 				Expect(f.post("/lookup", "").status).To(Equal(http.StatusOK))
 			})
 
-			// Guards against calls that are cut by a planned stop, and against calls that start during it.
+			// Guards against calls that are aborted by a planned stop, and against calls that start during it.
 			It("finishes calls in flight before a stop and starts no new one", func() {
 				upstream := newBlockingUpstream()
 				f := newFixture(remote, newFakeLedger().server.Address(), 4, upstream.ServeHTTP)
@@ -171,9 +172,9 @@
 		})
 	}
 
-	// Guards against a stop that waits for the ledger first, runs out of time and cuts off requests: mixed-faults
-	// (kartuli, seed 12) counted cut_in_flight when the ledger was out of reach during a stop.
-	It("finishes requests in flight before it waits for records", func() {
+	// Guards against a stop that waits for the ledger first, runs out of time and aborts requests. The scenario
+	// mixed-faults (profile kartuli, seed 12) counted cut_in_flight because the ledger was unreachable during a stop.
+	It("finishes requests in flight before it waits for responses to be recorded", func() {
 		upstream := newBlockingUpstream()
 		f := newFixture(true, newFakeLedger().server.Address(), 4, upstream.ServeHTTP)
 		f.ingress.BlockRecording()
@@ -190,11 +191,11 @@
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.status).To(Equal(http.StatusCreated))
 		cancel()
-		Eventually(stopped, eventuallyTimeout).Should(Receive(HaveOccurred()), "the held record must be reported")
+		Eventually(stopped, eventuallyTimeout).Should(Receive(HaveOccurred()), "Stop must report the response that was not recorded")
 	})
 
 	// Guards against a malformed announcement that takes a working upstream out of service.
-	It("leaves the upstream as it is after an invalid announcement", func() {
+	It("keeps the upstream unchanged after an invalid announcement", func() {
 		f := newFixture(false, newFakeLedger().server.Address(), 4, func(http.ResponseWriter, *http.Request) {})
 		before, _ := f.executor.OwnRecord()
 		other := listen()
--- a/node/harness_test.go
+++ b/node/harness_test.go
@@ -57,7 +57,7 @@
 	server *rpc.Server
 	mu     sync.Mutex
 	state  *ledger.Ledger
-	// lost is the number of replies to claims that are lost after the claim was applied.
+	// lostClaimReplies is the number of claims whose reply is lost after the claim was applied.
 	lostClaimReplies int
 }
 
@@ -167,7 +167,7 @@
 	return f
 }
 
-// answer is a response with its whole body, or the error that ended it.
+// callResult is a response with its whole body, or the error that ended it.
 type callResult struct {
 	status          int
 	header, trailer http.Header
@@ -207,7 +207,7 @@
 	return done
 }
 
-// chunked is a body of unknown length with a trailer that is set at its end.
+// chunkedBody is a body of unknown length with a trailer whose value is set at its end.
 type chunkedBody struct {
 	io.Reader
 	trailer http.Header
--- a/node/ingress.go
+++ b/node/ingress.go
@@ -143,7 +143,8 @@
 	}
 	c.metadata = protocol.CallMetadata{
 		Service: c.policy.split.Next(), Route: c.route.Name, Class: c.route.Class, Method: r.Method, URI: requestURI(r),
-		Host: r.Host, Header: protocol.Fields(header), Depth: depth, Retry: dialect.Retry != "" && r.Header.Get(dialect.Retry) != "",
+		Host: r.Host, Header: protocol.Fields(header), Depth: depth,
+		Retry:         dialect.Retry != "" && r.Header.Get(dialect.Retry) != "",
 		ContentLength: r.ContentLength, Version: c.snapshot.version, Priority: c.route.Priority,
 		RequestID: r.Header.Get(dialect.RequestID),
 	}
--- a/node/irreversible_test.go
+++ b/node/irreversible_test.go
@@ -15,7 +15,7 @@
 	"sapphiregate.example/sapphiregate/state/ledger"
 )
 
-// gated counts its runs and answers with their number once it is released.
+// blockingUpstream counts its runs and responds with their number once it is unblocked.
 type blockingUpstream struct {
 	runs    atomic.Int32
 	release chan struct{}
@@ -46,9 +46,9 @@
 	for _, remote := range []bool{false, true} {
 		path := map[bool]string{false: "on the local upstream", true: "through another node"}[remote]
 		Context(path, func() {
-			// Guards against a second run when the caller lost the first answer, and against an answer that is given up
-			// with its caller.
-			It("runs once and gives the resend the first answer", func() {
+			// Guards against a second run when the caller did not get the first response, and against dropping a
+			// response whose caller has disconnected.
+			It("runs once and returns the first response to a resend", func() {
 				ledgerServer, upstream := newFakeLedger(), newBlockingUpstream()
 				f := newFixture(remote, ledgerServer.server.Address(), 2, upstream.ServeHTTP)
 				ctx, disconnect := context.WithCancel(context.Background())
@@ -69,7 +69,7 @@
 				Expect(upstream.runs.Load()).To(BeEquivalentTo(1))
 			})
 
-			// Guards against "not-run" for a request whose first attempt ran, when a later attempt is refused.
+			// Guards against "not-run" for a refused attempt if an earlier attempt of the same request ran.
 			It("never reports a refused resend as not run", func() {
 				ledgerServer, upstream := newFakeLedger(), newBlockingUpstream()
 				f := newFixture(remote, ledgerServer.server.Address(), 2, upstream.ServeHTTP)
@@ -93,7 +93,7 @@
 			})
 
 			// Guards against a run without a claim.
-			It("answers unknown and does not run when the ledger is unreachable", func() {
+			It("reports unknown and does not run when the ledger is unreachable", func() {
 				closed := listen()
 				Expect(closed.Close()).To(Succeed())
 				upstream := newBlockingUpstream().unblock()
@@ -107,7 +107,7 @@
 		})
 	}
 
-	// Guards against a claim that is granted but whose lost reply leaves the call neither run nor released.
+	// Guards against a call that is neither run nor released because the reply to its granted claim was lost.
 	It("runs once when the ledger's reply to the claim is lost", func() {
 		ledgerServer, upstream := newFakeLedger(), newBlockingUpstream().unblock()
 		ledgerServer.lostClaimReplies = 1
@@ -117,7 +117,7 @@
 		Expect(upstream.runs.Load()).To(BeEquivalentTo(1))
 	})
 
-	// Guards against an upstream's refusal that keeps its claim, which would answer "unknown" for good.
+	// Guards against a claim that is kept after the upstream's refusal: every resend would get "unknown".
 	It("releases the claim of a call that the upstream refused", func() {
 		ledgerServer := newFakeLedger()
 		f := newFixture(false, ledgerServer.server.Address(), 2, func(w http.ResponseWriter, _ *http.Request) {
@@ -128,8 +128,8 @@
 		Expect(ledgerServer.status("k1")).To(Equal(ledger.Released))
 	})
 
-	// Guards against two requests under one key, and against irreversible runs without a key.
-	It("refuses a request without a key and a key of another request", func() {
+	// Guards against two requests under one key, and against irreversible calls without a key.
+	It("refuses a request without a key, with a key that is too long, or with the key of another request", func() {
 		upstream := newBlockingUpstream().unblock()
 		f := newFixture(false, newFakeLedger().server.Address(), 2, upstream.ServeHTTP)
 		Expect(f.post("/promote", "dan 3").status).To(Equal(http.StatusBadRequest))
@@ -142,8 +142,8 @@
 		Expect(upstream.runs.Load()).To(BeEquivalentTo(1))
 	})
 
-	// Guards against a resend of a request that may have run, after its answer was cut.
-	It("answers unknown after a truncated answer and runs nothing again", func() {
+	// Guards against running a request again after its response was truncated: it may have run.
+	It("reports unknown after a truncated response and runs nothing again", func() {
 		var runs atomic.Int32
 		f := newFixture(true, newFakeLedger().server.Address(), 2, func(w http.ResponseWriter, _ *http.Request) {
 			runs.Add(1)
--- a/node/keyless_test.go
+++ b/node/keyless_test.go
@@ -17,13 +17,14 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// foreign is the dialect of callers and upstreams that number their requests.
+// customDialect names other header fields than the default dialect, and has upstreams echo a request ID and a proof.
 var customDialect = protocol.Dialect{
 	Deadline: "X-Left-Ms", RequestID: "X-Request", CallerService: "X-From", ExpectUpstream: "X-For", Proof: "X-Proof",
 	NotRun: "X-Not-Run", FractionalRetryAfter: true,
 }
 
-// foreignNode starts a node with that dialect and an upstream, and returns the callers' address.
+// startCustomDialectNode starts a node with customDialect and a server for its upstream, which is not announced yet. It
+// returns the addresses of both.
 func startCustomDialectNode(
 	handler http.HandlerFunc, configure ...func(*node.Options),
 ) (started *node.Node, callers, upstream string) {
@@ -56,7 +57,7 @@
 	})
 }
 
-// learn hands the node its own record, which the distribution tree would bring.
+// learnOwnRecord merges the node's own endpoint record, which otherwise comes back through the distribution tree.
 func learnOwnRecord(n *node.Node) {
 	Eventually(func() bool { _, ok := n.OwnRecord(); return ok }, eventuallyTimeout).Should(BeTrue())
 	record, _ := n.OwnRecord()
@@ -99,9 +100,9 @@
 		learnOwnRecord(n)
 	})
 
-	It("runs once without a key, for the upstream that it was meant for", func() {
+	It("runs once without a key, and names the upstream that is to run it", func() {
 		respondWith(func(w http.ResponseWriter, r *http.Request) {
-			Expect(r.Header.Get("X-From")).To(Equal("desk"), "set by the node whatever the caller says")
+			Expect(r.Header.Get("X-From")).To(Equal("desk"), "the node must replace the caller's value")
 			Expect(r.Header.Get("X-For")).To(Equal("u1"))
 			Expect(r.Header.Get("X-Left-Ms")).NotTo(BeEmpty())
 			respondValid(w, r)
@@ -113,8 +114,8 @@
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
-	// Guards against a success that is not one: without the upstream's proof, or the answer to another request.
-	DescribeTable("passes on no success that is not the upstream's answer to it", func(change func(http.Header)) {
+	// Guards against forwarding a successful response that lacks the upstream's proof or belongs to another request.
+	DescribeTable("does not forward a successful response that is not the upstream's response to it", func(change func(http.Header)) {
 		respondWith(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Request", r.Header.Get("X-Request"))
 			w.Header().Set("X-Proof", "1")
@@ -127,13 +128,13 @@
 		Expect(runs.Load()).To(Equal(int64(1)))
 	},
 		Entry("no proof", func(h http.Header) { h.Del("X-Proof") }),
-		Entry("of another request", func(h http.Header) { h.Set("X-Request", "r0") }),
-		Entry("of no request", func(h http.Header) { h.Del("X-Request") }),
-		Entry("encoded", func(h http.Header) { h.Set("Content-Encoding", "gzip") }),
+		Entry("another request ID", func(h http.Header) { h.Set("X-Request", "r0") }),
+		Entry("no request ID", func(h http.Header) { h.Del("X-Request") }),
+		Entry("a content encoding", func(h http.Header) { h.Set("Content-Encoding", "gzip") }),
 	)
 
-	// Guards against an answer that is cut since the call's context ends before all of it is passed on.
-	It("passes on a long answer whole", func() {
+	// Guards against a long response that is truncated because the call's context ends before all of it is forwarded.
+	It("forwards a long response completely", func() {
 		longBody := strings.Repeat("answer ", 60_000)
 		respondWith(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Request", r.Header.Get("X-Request"))
@@ -151,7 +152,7 @@
 		Expect(len(body)).To(Equal(len(longBody)))
 	})
 
-	// Guards against a false "not run" after the request reached the upstream, and against a second run.
+	// Guards against reporting "not run" or running the request again after the upstream has received it.
 	It("is reported as unknown, and not sent again, when its connection breaks", func() {
 		respondWith(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		response, err := sendRequest(callers, "/promote", "r1")
@@ -173,8 +174,8 @@
 		Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(response.Header.Get("Retry-After")).To(MatchRegexp(`^0\.\d+$`))
 	},
-		Entry("full", http.StatusServiceUnavailable, "X-Not-Run"),
-		Entry("another upstream at the address", http.StatusMisdirectedRequest, ""),
+		Entry("the upstream is full", http.StatusServiceUnavailable, "X-Not-Run"),
+		Entry("another upstream has the address", http.StatusMisdirectedRequest, ""),
 	)
 
 	Describe("with heartbeats of its upstream", func() {
@@ -184,8 +185,8 @@
 			return response.StatusCode
 		}
 
-		// Guards against a late heartbeat that brings a leaving upstream back, or one that has been replaced.
-		It("ignores those that were overtaken", func() {
+		// Guards against a late heartbeat that puts a leaving or replaced upstream back into service.
+		It("ignores heartbeats that arrive after a later one", func() {
 			Expect(sendHeartbeat(n, upstream, "u1", 1, 3, true)).To(Succeed())
 			Expect(promoteStatus()).To(Equal(http.StatusServiceUnavailable))
 			Expect(sendHeartbeat(n, upstream, "u1", 1, 2, false)).To(Succeed())
@@ -196,8 +197,8 @@
 			Expect(promoteStatus()).To(Equal(http.StatusOK))
 		})
 
-		// Guards against an upstream that keeps its calls because something else changes in the heartbeat that says it leaves.
-		It("drains an upstream whose other figures change as it leaves", func() {
+		// Guards against an upstream that stays in service because its leaving heartbeat also has another slot count.
+		It("drains an upstream whose slot count changes as it leaves", func() {
 			Expect(n.Heartbeat(node.Heartbeat{
 				Announcement: node.Announcement{Service: "desk", Address: upstream, Slots: 2, ID: "u1", Incarnation: 1},
 				Sequence:     2, Leaving: true,
@@ -205,14 +206,14 @@
 			Expect(promoteStatus()).To(Equal(http.StatusServiceUnavailable))
 		})
 
-		// Guards against the counts of a former start being taken for those of this one.
-		It("takes a restart under the same identity for a new upstream", func() {
+		// Guards against comparing a new incarnation's sequence numbers with those of the former one.
+		It("treats a restart under the same ID as a new upstream", func() {
 			Expect(sendHeartbeat(n, upstream, "u1", 1, 90, true)).To(Succeed())
 			Expect(sendHeartbeat(n, upstream, "u1", 2, 1, false)).To(Succeed())
 			Expect(promoteStatus()).To(Equal(http.StatusOK))
 		})
 
-		It("gives an upstream that departs no more calls, whatever it says after", func() {
+		It("gives a deregistered upstream no more calls, even if it sends further heartbeats", func() {
 			n.DeregisterUpstream("u1")
 			Expect(promoteStatus()).To(Equal(http.StatusServiceUnavailable))
 			Expect(sendHeartbeat(n, upstream, "u1", 1, 2, false)).To(Succeed())
--- a/node/liveness_test.go
+++ b/node/liveness_test.go
@@ -19,7 +19,7 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// silentLink is a way to an instance that can lose everything without closing a connection, as a loss of power does.
+// blackholeLink is a link to an instance that can drop all traffic without closing connections, like a loss of power.
 type blackholeLink struct {
 	dropping atomic.Bool
 }
@@ -36,7 +36,7 @@
 	return &blackholeConn{Conn: conn, link: l, closed: make(chan struct{})}, nil
 }
 
-// silentConn stays open and silent once its link has been silent, also when the other side is gone.
+// blackholeConn stays open and carries no more data once its link has dropped traffic, even if the peer has stopped.
 type blackholeConn struct {
 	net.Conn
 	link       *blackholeLink
@@ -79,7 +79,7 @@
 	var firstRuns, secondRuns atomic.Int64
 	var release chan struct{}
 	var ingressNode *node.Node
-	// restart starts the first instance anew at its address.
+	// restart kills the first instance and starts it again at the same address.
 	var restart func()
 
 	lookup := func(query string) time.Duration {
@@ -91,7 +91,8 @@
 		return time.Since(started)
 	}
 
-	// Two instances serve lookups; the link to the first one can fall silent. Calls that ask for it are held there.
+	// Two instances serve lookups. The link to the first one can drop all traffic, and lookups with the parameter
+	// "hold" block there.
 	BeforeEach(func() {
 		link = &blackholeLink{}
 		firstRuns.Store(0)
@@ -156,9 +157,9 @@
 		}
 	})
 
-	// Guards against lookups that wait for their whole deadline (15 s here) for an instance that has lost power, and against
-	// further ones that are sent there.
-	It("loses its lookups to another instance within two seconds, and gets calls again once it answers", func() {
+	// Guards against lookups that wait until their deadline (15 s here) for an instance that has lost power, and
+	// against sending it further ones.
+	It("loses its lookups to another instance within two seconds, and gets calls again once it responds", func() {
 		durations := make(chan time.Duration, 40)
 		before := firstRuns.Load()
 		sent := 0
@@ -189,8 +190,8 @@
 		}, 3*time.Second).Should(BeNumerically(">", before))
 	})
 
-	// Guards against calls to an instance that has started again which go out on the connection to its former process.
-	It("gets calls on a new connection after it has started again", func() {
+	// Guards against calls to a restarted instance on the connection to its former process, which carries no data.
+	It("gets calls on a new connection after a restart", func() {
 		link.dropping.Store(true)
 		Expect(lookup("")).To(BeNumerically("<", 2*time.Second))
 		restart()
--- a/node/requestlog_test.go
+++ b/node/requestlog_test.go
@@ -20,7 +20,7 @@
 	"sapphiregate.example/sapphiregate/protocol"
 )
 
-// lines collects the log of a node.
+// logBuffer collects the log of a node.
 type logBuffer struct {
 	mu   sync.Mutex
 	data bytes.Buffer
@@ -32,7 +32,7 @@
 	return l.data.Write(data)
 }
 
-// about returns the lines about a request, or about any request.
+// linesAbout returns the lines about a request; for "", those about any request.
 func (l *logBuffer) linesAbout(request string) []map[string]any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// metric reads one sample from a node's metrics.
+// metric returns one sample of a node's metrics, or 0 if the node has none of that name.
 func metric(admin net.Addr, name string) float64 {
 	response, err := http.Get("http://" + admin.String() + node.PathMetrics)
 	Expect(err).NotTo(HaveOccurred())
@@ -83,9 +83,9 @@
 		w.Header().Set("X-Proof", "1")
 	}
 
-	// Guards against a failed request whose cause cannot be found afterwards: the node that took it in names the instance
-	// that it tried, and that instance's log says what happened there.
-	It("tells at both nodes why a request failed", func() {
+	// Guards against a failed request whose cause cannot be found afterwards: the ingress logs the instance that it
+	// tried, and the executor there logs what happened.
+	It("says at the ingress and the executor why a request failed", func() {
 		callers := start(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		_, err := sendRequest(callers, "/promote", "r1")
 		Expect(err).NotTo(HaveOccurred())
@@ -100,8 +100,8 @@
 		Expect(metric(admin, `sapphiregate_request_seconds_count{class="irreversible",outcome="unknown"}`)).To(Equal(1.0))
 	})
 
-	// Guards against a refusal under overload that does not show what the decision was based on.
-	It("tells why a call got no slot", func() {
+	// Guards against log lines about refused calls that do not show the state on which the decision was based.
+	It("says why a call got no slot", func() {
 		release := make(chan struct{})
 		callers := start(func(w http.ResponseWriter, r *http.Request) {
 			<-release
@@ -133,8 +133,9 @@
 		Expect(found).To(HaveKeyWithValue("given_ms", BeNumerically("<=", 50)))
 	})
 
-	// Guards against a log that grows with the load: 20 lines a second and a burst of 100 at each side of a call.
-	It("stays within its bound when every request fails, and counts what it leaves out", func() {
+	// Guards against a log that grows with the load: the ingress and the executor may each write 20 lines per second
+	// and a burst of 100.
+	It("stays within its limit when every request fails, and counts the dropped lines", func() {
 		callers := start(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		const requests = 600
 		started := time.Now()
@@ -150,8 +151,8 @@
 			To(BeEquivalentTo(requests))
 	})
 
-	// Guards against a failed request without a good one to compare it with.
-	It("follows a sample of the requests that succeed at both nodes", func() {
+	// Guards against a log without successful requests with which to compare a failed one.
+	It("contains a sample of the successful requests at the ingress and the executor", func() {
 		callers := start(respondValid)
 		for i := range 300 {
 			_, err := sendRequest(callers, "/lookup", fmt.Sprintf("r%d", i))
--- a/node/response.go
+++ b/node/response.go
@@ -179,7 +179,8 @@
 	case protocol.OutcomeDone:
 		c.writeResponse(w, reply)
 	case protocol.OutcomeNotRun:
-		c.node.writeOutcome(w, protocol.OutcomeNotRun, reply.metadata.Reason, refusalStatusCode(reply.metadata.Reason), reply.metadata.Load)
+		c.node.writeOutcome(w, protocol.OutcomeNotRun, reply.metadata.Reason, refusalStatusCode(reply.metadata.Reason),
+			reply.metadata.Load)
 	default:
 		c.writeUnknown(w, reply)
 	}
@@ -189,7 +190,8 @@
 	if c.metadata.Key != "" {
 		w.Header().Set(protocol.HeaderOutcomeURL, outcomeURL(c.metadata.Key))
 	}
-	c.node.writeOutcome(w, protocol.OutcomeUnknown, reply.metadata.Reason, unknownStatusCode(reply.metadata.Reason), reply.metadata.Load)
+	c.node.writeOutcome(w, protocol.OutcomeUnknown, reply.metadata.Reason, unknownStatusCode(reply.metadata.Reason),
+		reply.metadata.Load)
 }
 
 func unknownStatusCode(reason protocol.Reason) int {
--- a/node/task_group_test.go
+++ b/node/task_group_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// TestBackgroundStartsWhileWaiting guards against the panic of sync.WaitGroup ("reused before previous Wait has
-// returned"), which ended a process in herd-crash (kartuli, seed 2) when a call started during a stop.
-func TestBackgroundStartsWhileWaiting(t *testing.T) {
+// TestTaskGroupStartsWhileWaiting guards against the panic of sync.WaitGroup ("reused before previous Wait has
+// returned"), which crashed a process in the scenario herd-crash (profile kartuli, seed 2): a call started while a stop
+// waited.
+func TestTaskGroupStartsWhileWaiting(t *testing.T) {
 	var group taskGroup
 	var ran, started atomic.Int64
 	var starters sync.WaitGroup
