--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -71,17 +71,17 @@
 		e.mu.Unlock()
 		return nil
 	}
-	same := e.upstream != nil && e.upstream.announcement.ID == h.Announcement.ID &&
+	sameUpstream := e.upstream != nil && e.upstream.announcement.ID == h.Announcement.ID &&
 		e.upstream.announcement.Incarnation == h.Announcement.Incarnation
 	e.lastHeartbeat = heartbeatPosition{
 		id: h.Announcement.ID, incarnation: h.Announcement.Incarnation, sequence: h.Sequence,
 	}
-	leaving := e.stopping || same && e.deregistered
-	if !same {
+	leaving := e.stopping || sameUpstream && e.deregistered
+	if !sameUpstream {
 		e.deregistered = false
 	}
 	e.mu.Unlock()
-	if leaving || h.Leaving && same {
+	if leaving || h.Leaving && sameUpstream {
 		e.drain()
 		return nil
 	}
@@ -92,7 +92,7 @@
 	return e.acceptAnnouncement(h.Announcement)
 }
 
-// markDeregistered marks the current upstream as about to stop. It returns false if it has another ID.
+// markDeregistered marks the current upstream as about to stop. It returns false if the ID is that of another upstream.
 func (e *executor) markDeregistered(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/node/ingress.go
+++ b/node/ingress.go
@@ -210,11 +210,11 @@
 }
 
 // Read implements io.Reader.
-func (b *maxBytesReader) Read(data []byte) (int, error) {
-	n, err := b.reader.Read(data)
-	b.remaining -= int64(n)
-	if b.remaining < 0 {
-		b.exceeded.Store(true)
+func (r *maxBytesReader) Read(data []byte) (int, error) {
+	n, err := r.reader.Read(data)
+	r.remaining -= int64(n)
+	if r.remaining < 0 {
+		r.exceeded.Store(true)
 		return 0, errors.Wrap(protocol.ErrTooLarge, "request body")
 	}
 	return n, err
--- a/node/irreversible.go
+++ b/node/irreversible.go
@@ -35,7 +35,7 @@
 // the response recorded even if the caller has gone.
 type irreversibleCall struct {
 	executor     *executor
-	head         *protocol.CallMetadata
+	metadata     *protocol.CallMetadata
 	body         *requestBody
 	deadline     time.Time
 	stateMachine *execution.StateMachine
@@ -65,7 +65,7 @@
 		return notRunReply(reason)
 	}
 	call := &irreversibleCall{
-		executor: e, head: meta, body: body, deadline: deadline,
+		executor: e, metadata: meta, body: body, deadline: deadline,
 		stateMachine: execution.New(execution.Config{Claim: e.newClaim(meta, attempt), Deadline: deadline}),
 		inputs:       make(chan stateMachineInput),
 		finished:     make(chan struct{}),
@@ -107,13 +107,14 @@
 	return e.nextID, protocol.ReasonNone
 }
 
-// endClaim ends the part of a call that beginClaim has started.
+// endClaim removes a call from the pending claims.
 func (e *executor) endClaim() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.pendingClaims--
 }
 
+// newClaim returns the claim of an attempt for the ledger.
 func (e *executor) newClaim(meta *protocol.CallMetadata, attempt uint64) ledger.Claim {
 	return ledger.Claim{
 		Key: meta.Key, Route: meta.Route, RequestDigest: meta.RequestDigest,
@@ -222,7 +223,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(c.executor.ctx, ledgerTimeout)
 		defer cancel()
-		result, err := c.executor.ledger.commit(ctx, c.head.Key, command)
+		result, err := c.executor.ledger.commit(ctx, c.metadata.Key, command)
 		switch {
 		case err == nil:
 			c.post(func(now time.Time) []execution.Output { return deliver(now, result) })
@@ -245,7 +246,7 @@
 	go func() {
 		ctx, cancel := context.WithDeadline(c.executor.ctx, c.deadline)
 		defer cancel()
-		slot, reason := c.executor.admit(ctx, c.head, c.deadline)
+		slot, reason := c.executor.admit(ctx, c.metadata, c.deadline)
 		posted := c.post(func(now time.Time) []execution.Output { return c.startUpstreamCall(now, slot, reason) })
 		if !posted && slot != nil {
 			c.executor.releaseSlot(slot, 0)
@@ -279,7 +280,7 @@
 func (c *irreversibleCall) callUpstream(slot *grantedSlot) stateMachineInput {
 	ctx, cancel := context.WithDeadline(c.executor.ctx, c.deadline.Add(lateResponseTime))
 	defer cancel()
-	request := c.executor.upstreamRequest(slot.upstream, c.head, c.body, c.deadline)
+	request := c.executor.upstreamRequest(slot.upstream, c.metadata, c.body, c.deadline)
 	response, err := slot.upstream.client.Do(ctx, request)
 	if errors.Is(err, web.ErrNotWritten) {
 		c.executor.startCrashCheck(slot)
@@ -302,7 +303,7 @@
 		c.executor.awaitCrashCheck(ctx, slot)
 		return c.stateMachine.UpstreamFailed
 	}
-	c.executor.clearSuspicion(c.head)
+	c.executor.clearSuspicion(c.metadata)
 	recorded := ledger.Response{
 		Status: response.Response.StatusCode, Header: web.CopyHeader(response.Response.Header), Body: body,
 	}
--- a/node/keyless_test.go
+++ b/node/keyless_test.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// learnOwnRecord merges the node's own endpoint record, which otherwise comes back through the distribution tree.
-func learnOwnRecord(n *node.Node) {
+// mergeOwnRecord merges the node's own endpoint record, which otherwise comes back through the distribution tree.
+func mergeOwnRecord(n *node.Node) {
 	Eventually(func() bool { _, ok := n.OwnRecord(); return ok }, eventuallyTimeout).Should(BeTrue())
 	record, _ := n.OwnRecord()
 	Expect(n.MergeEndpoint(record)).To(Succeed())
@@ -97,7 +97,7 @@
 			(*currentHandler.Load())(w, r)
 		})
 		Expect(sendHeartbeat(n, upstream, "u1", 1, 1, false)).To(Succeed())
-		learnOwnRecord(n)
+		mergeOwnRecord(n)
 	})
 
 	It("runs once without a key, and names the upstream that is to run it", func() {
--- a/node/ledger.go
+++ b/node/ledger.go
@@ -45,8 +45,8 @@
 	}
 	request := &protocol.ProposeRequest{Target: protocol.TargetLedger, Key: key, Command: data}
 	maybeProposed := false
-	for try := 0; ; try++ {
-		address := c.chooseMember(key, try)
+	for attempt := 0; ; attempt++ {
+		address := c.chooseMember(key, attempt)
 		if address == "" {
 			return ledger.Result{}, errors.Wrap(errNotProposed, "no member is known")
 		}
@@ -64,12 +64,13 @@
 			}
 			return ledger.Result{}, errors.Wrapf(cause, "%v", ctx.Err())
 		}
-		if try > 0 {
+		if attempt > 0 {
 			sleep(ctx, ledgerRetryDelay)
 		}
 	}
 }
 
+// propose sends a command to one member.
 func (c *ledgerClient) propose(
 	ctx context.Context, address string, request *protocol.ProposeRequest,
 ) (*protocol.ProposeReply, error) {
@@ -80,7 +81,7 @@
 
 // chooseMember returns the leader of the key's group if it is known, otherwise the members in turn. It returns "" if no
 // member is known.
-func (c *ledgerClient) chooseMember(key string, try int) string {
+func (c *ledgerClient) chooseMember(key string, attempt int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.leaders) > 0 {
@@ -92,7 +93,7 @@
 	if len(members) == 0 {
 		return ""
 	}
-	return members[try%len(members)]
+	return members[attempt%len(members)]
 }
 
 // updateLeader stores the leader that applied a command or that a member named, and removes one that gave neither
--- a/node/reply.go
+++ b/node/reply.go
@@ -42,10 +42,10 @@
 }
 
 // addOnFinish adds a function that finish calls before those that were added earlier.
-func (r *callReply) addOnFinish(do func()) *callReply {
+func (r *callReply) addOnFinish(f func()) *callReply {
 	previous := r.onFinish
 	r.onFinish = func() {
-		do()
+		f()
 		if previous != nil {
 			previous()
 		}
--- a/node/requestlog.go
+++ b/node/request_log.go
@@ -55,21 +55,21 @@
 
 // event returns a log event, or nil if the limit is reached. If droppedTotal is set, the event contains the number of
 // lines that were dropped before it.
-func (b *rateLimitedLines) event(logger zerolog.Logger) *zerolog.Event {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.limiter.Allow() {
-		b.dropped++
-		if b.droppedTotal != nil {
-			b.droppedTotal.Inc()
+func (l *rateLimitedLines) event(logger zerolog.Logger) *zerolog.Event {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.limiter.Allow() {
+		l.dropped++
+		if l.droppedTotal != nil {
+			l.droppedTotal.Inc()
 		}
 		return nil
 	}
 	event := logger.Info()
-	if b.dropped > 0 && b.droppedTotal != nil {
-		event.Int("lines_dropped", b.dropped)
+	if l.dropped > 0 && l.droppedTotal != nil {
+		event.Int("lines_dropped", l.dropped)
 	}
-	b.dropped = 0
+	l.dropped = 0
 	return event
 }
 
--- a/node/requestlog_test.go
+++ b/node/request_log_test.go
@@ -75,7 +75,7 @@
 			options.Logger, admin = zerolog.New(logs), options.Admin.Addr()
 		})
 		Expect(sendHeartbeat(n, upstream, "u1", 1, 1, false)).To(Succeed())
-		learnOwnRecord(n)
+		mergeOwnRecord(n)
 		return callers
 	}
 	respondValid := func(w http.ResponseWriter, r *http.Request) {
--- a/node/request_tracker.go
+++ b/node/request_tracker.go
@@ -19,40 +19,40 @@
 }
 
 // admit counts a request, or returns why it is refused. The caller must call done at the end of an admitted request.
-func (g *requestTracker) admit() protocol.Reason {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (t *requestTracker) admit() protocol.Reason {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	switch {
-	case g.closed:
+	case t.closed:
 		return protocol.ReasonDraining
-	case g.inFlight >= g.limit:
+	case t.inFlight >= t.limit:
 		return protocol.ReasonShed
 	}
-	g.inFlight++
+	t.inFlight++
 	return protocol.ReasonNone
 }
 
-func (g *requestTracker) done() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.inFlight--
-	if g.closed && g.inFlight == 0 {
-		close(g.idle)
+func (t *requestTracker) done() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.inFlight--
+	if t.closed && t.inFlight == 0 {
+		close(t.idle)
 	}
 }
 
 // drain refuses further requests and waits until none is in flight, or until the context ends.
-func (g *requestTracker) drain(ctx context.Context) error {
-	g.mu.Lock()
-	if !g.closed {
-		g.closed = true
-		g.idle = make(chan struct{})
-		if g.inFlight == 0 {
-			close(g.idle)
+func (t *requestTracker) drain(ctx context.Context) error {
+	t.mu.Lock()
+	if !t.closed {
+		t.closed = true
+		t.idle = make(chan struct{})
+		if t.inFlight == 0 {
+			close(t.idle)
 		}
 	}
-	idle := g.idle
-	g.mu.Unlock()
+	idle := t.idle
+	t.mu.Unlock()
 	select {
 	case <-idle:
 		return nil
--- a/node/run.go
+++ b/node/run.go
@@ -152,6 +152,7 @@
 	return request
 }
 
+// responseMetadata returns the metadata of the reply to a call that the upstream has run.
 func responseMetadata(method string, response *web.UpstreamAnswer) protocol.ReplyMetadata {
 	header := web.CopyHeader(response.Response.Header)
 	if response.Response.ContentLength >= 0 && bodyAllowed(method, response.Response.StatusCode) {
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -69,6 +69,8 @@
 	return next, nil
 }
 
+// newRoutePolicy builds the policy of a route. It keeps the budget of the previous snapshot if the route's retry settings
+// are unchanged.
 func newRoutePolicy(route *routing.Route, previous *snapshot) *routePolicy {
 	policy := &routePolicy{}
 	if len(route.Split) > 0 {
@@ -98,6 +100,8 @@
 	return policy
 }
 
+// apply adds a resource of the route to the policy. It keeps the limiter of the previous policy if the limit is
+// unchanged.
 func (p *routePolicy) apply(resource bundle.Resource, previous *routePolicy) {
 	switch {
 	case resource.Kind == bundle.ResourceHeaders:
--- a/node/task_group.go
+++ b/node/task_group.go
@@ -16,42 +16,42 @@
 }
 
 // start runs f on a goroutine. It returns false, and does not run f, once the group is closed.
-func (b *taskGroup) start(f func()) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.closed {
+func (g *taskGroup) start(f func()) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.closed {
 		return false
 	}
-	b.count++
+	g.count++
 	go func() {
-		defer b.done()
+		defer g.done()
 		f()
 	}()
 	return true
 }
 
-func (b *taskGroup) done() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.count--
-	if b.count == 0 && b.idle != nil {
-		close(b.idle)
-		b.idle = nil
+func (g *taskGroup) done() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.count--
+	if g.count == 0 && g.idle != nil {
+		close(g.idle)
+		g.idle = nil
 	}
 }
 
 // wait returns once no goroutine runs, or when the context ends.
-func (b *taskGroup) wait(ctx context.Context) error {
-	b.mu.Lock()
-	if b.count == 0 {
-		b.mu.Unlock()
+func (g *taskGroup) wait(ctx context.Context) error {
+	g.mu.Lock()
+	if g.count == 0 {
+		g.mu.Unlock()
 		return nil
 	}
-	if b.idle == nil {
-		b.idle = make(chan struct{})
+	if g.idle == nil {
+		g.idle = make(chan struct{})
 	}
-	idle := b.idle
-	b.mu.Unlock()
+	idle := g.idle
+	g.mu.Unlock()
 	select {
 	case <-idle:
 		return nil
@@ -61,9 +61,9 @@
 }
 
 // close makes start return false and waits for the goroutines that run.
-func (b *taskGroup) close() {
-	b.mu.Lock()
-	b.closed = true
-	b.mu.Unlock()
-	_ = b.wait(context.Background())
+func (g *taskGroup) close() {
+	g.mu.Lock()
+	g.closed = true
+	g.mu.Unlock()
+	_ = g.wait(context.Background())
 }
