--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -69,8 +69,8 @@
 	return next, nil
 }
 
-// newRoutePolicy builds the policy of a route. It keeps the budget of the previous snapshot if the route's retry settings
-// are unchanged.
+// newRoutePolicy builds the policy of a route. It keeps the budget of the previous snapshot if the route's retry
+// settings are unchanged.
 func newRoutePolicy(route *routing.Route, previous *snapshot) *routePolicy {
 	policy := &routePolicy{}
 	if len(route.Split) > 0 {
