--- a/node/admin.go
+++ b/node/admin.go
@@ -16,9 +16,9 @@
 	"sapphiregate.example/sapphiregate/protocol"
 )
 
-// Paths on the administration address.
+// Paths on the admin address.
 const (
-	// PathUpstream takes announcements: PUT announces the upstream, DELETE tells that it is leaving.
+	// PathUpstream announces the upstream with PUT, and begins its drain with DELETE.
 	PathUpstream   = "/v1/upstream"
 	PathDump       = "/debug/dump"
 	PathMetrics    = "/metrics"
@@ -45,13 +45,14 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := n.executor.accept(announcement); err != nil {
+	if err := n.executor.acceptAnnouncement(announcement); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// decodeStrict decodes exactly one JSON value without unknown fields, or returns ErrAnnouncement.
 func decodeStrict(w http.ResponseWriter, r *http.Request, value any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	decoder.DisallowUnknownFields()
@@ -70,14 +71,14 @@
 }
 
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if !n.Serving() {
+	if !n.Ready() {
 		http.Error(w, "no configuration is in force, or the node is leaving", http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serveClear lifts the quarantine of the fingerprints given as query parameters, or of all.
+// serveClear lifts the quarantine of the fingerprints given as query parameters; without any, of all fingerprints.
 func (n *Node) serveClear(w http.ResponseWriter, r *http.Request) {
 	var fingerprints []quarantine.Fingerprint
 	for _, text := range r.URL.Query()["fingerprint"] {
@@ -90,12 +91,12 @@
 	}
 	report, changed := n.quarantine.Clear(time.Now(), fingerprints...)
 	if changed {
-		n.publishReport(report)
+		n.publishCrashReport(report)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Dump is the state of a node.
+// Dump is the state of a node for diagnosis, as PathDump returns it.
 type Dump struct {
 	ID          string                   `json:"id"`
 	Zone        string                   `json:"zone"`
@@ -117,7 +118,7 @@
 	State        string              `json:"state"`
 	Announcement *Announcement       `json:"announcement,omitempty"`
 	Load         protocol.LoadReport `json:"load"`
-	// SelfReport is what the upstream's load page says; it is shown for comparison only.
+	// SelfReport is what the upstream itself reports at its load path; it is shown for comparison only.
 	SelfReport json.RawMessage `json:"self_report,omitempty"`
 }
 
--- a/node/call_stream.go
+++ b/node/call_stream.go
@@ -14,8 +14,8 @@
 	"sapphiregate.example/sapphiregate/transport/rpc"
 )
 
-// errCut means that a Call stream ended before its last frame.
-var errCut = errors.New("node: call stream ended early")
+// errStreamTruncated means that a Call stream ended before its last frame.
+var errStreamTruncated = errors.New("node: call stream ended early")
 
 // Call serves calls that other nodes send to the upstream beside this one.
 func (n *Node) Call(stream rpc.CallServerStream) error {
@@ -24,71 +24,73 @@
 		return err
 	}
 	if first.Metadata == nil {
-		return errors.Wrap(protocol.ErrMalformed, "call without a head")
+		return errors.Wrap(protocol.ErrMalformed, "the first frame of a call has no metadata")
 	}
-	body := &requestBody{start: first.Body, trailer: first.Trailer}
+	body := &requestBody{prefix: first.Body, trailer: first.Trailer}
 	if !first.Last {
 		body.trailer = declaredTrailer(first.Metadata.TrailerNames)
 		body.rest = &frameReader{recv: stream.Recv, trailer: body.trailer}
 	}
-	progress := startProgress(stream, first.Metadata.Progress)
-	answer := n.executor.run(stream.Context(), first.Metadata, body)
+	progress := startProgressNotifier(stream, first.Metadata.Progress)
+	reply := n.executor.run(stream.Context(), first.Metadata, body)
 	progress.stop()
-	defer answer.finish()
-	return sendReply(stream, answer)
+	defer reply.finish()
+	return sendReply(stream, reply)
 }
 
-// progressDelay is after which time an executor tells the ingress that it has a call. Shorter calls need no such frame.
+// progressDelay is the time after which an executor sends a progress frame for a call. Shorter calls need none.
 const progressDelay = 20 * time.Millisecond
 
-// progress sends one frame if a call takes long, so that the ingress can tell a busy upstream from a silent partition.
-type progress struct {
-	mu     sync.Mutex
-	ended  bool
-	timer  *time.Timer
-	stream rpc.CallServerStream
+// progressNotifier sends one progress frame if a call takes longer than progressDelay, so that the ingress can tell a
+// busy upstream from a network partition.
+type progressNotifier struct {
+	mu      sync.Mutex
+	stopped bool
+	timer   *time.Timer
+	stream  rpc.CallServerStream
 }
 
-func startProgress(stream rpc.CallServerStream, wanted bool) *progress {
-	p := &progress{stream: stream}
-	if !wanted {
+func startProgressNotifier(stream rpc.CallServerStream, enabled bool) *progressNotifier {
+	p := &progressNotifier{stream: stream}
+	if !enabled {
 		return p
 	}
 	p.timer = time.AfterFunc(progressDelay, p.send)
 	return p
 }
 
-func (p *progress) send() {
+func (p *progressNotifier) send() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.ended {
-		// A broken stream is noticed when the answer is sent.
+	if !p.stopped {
+		// If the stream is broken, sendReply returns the error.
 		_ = p.stream.Send(&protocol.ReplyFrame{Progress: true})
 	}
 }
 
-// stop returns once no progress frame is being sent: a stream takes one frame at a time.
-func (p *progress) stop() {
+// stop prevents further progress frames and waits for one that is being sent: Send must not be called concurrently.
+func (p *progressNotifier) stop() {
 	if p.timer == nil {
 		return
 	}
 	p.timer.Stop()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = true
+	p.stopped = true
 }
 
-func sendReply(stream rpc.CallServerStream, answer *reply) error {
-	frame := &protocol.ReplyFrame{Metadata: &answer.head, Body: answer.body}
-	if answer.stream == nil {
+// sendReply sends the metadata with the start of the body, then the frames of the rest.
+func sendReply(stream rpc.CallServerStream, reply *callReply) error {
+	frame := &protocol.ReplyFrame{Metadata: &reply.metadata, Body: reply.body}
+	if reply.stream == nil {
 		frame.Last = true
-		frame.Trailer = answer.trailer
+		frame.Trailer = reply.trailer
 	}
 	if err := stream.Send(frame); err != nil {
 		return err
 	}
-	for answer.stream != nil {
-		frame, err := answer.stream.Next()
+	for reply.stream != nil {
+		frame, err := reply.stream.Next()
 		if err != nil {
 			return err
 		}
@@ -106,12 +108,13 @@
 type frameReader struct {
 	recv    func() (*protocol.CallFrame, error)
 	pending []byte
-	ended   bool
-	// trailer receives the values of the declared fields with the last frame.
+	done    bool
+	// trailer contains the declared fields; each frame sets their values, which are complete with the last frame.
 	trailer http.Header
 }
 
-// declaredTrailer returns the fields that net/http announces before the body.
+// declaredTrailer returns a trailer with the given field names and no values, from which net/http announces the
+// trailer before the body.
 func declaredTrailer(names []string) http.Header {
 	if len(names) == 0 {
 		return nil
@@ -123,18 +126,18 @@
 	return trailer
 }
 
-// Read implements io.Reader. A stream that ends without a last frame is an error, so that the upstream does not take
-// a cut request for a whole one.
+// Read implements io.Reader. It returns an error if the stream ends without a last frame, so that the upstream does
+// not take a truncated request for a complete one.
 func (r *frameReader) Read(data []byte) (int, error) {
 	for len(r.pending) == 0 {
-		if r.ended {
+		if r.done {
 			return 0, io.EOF
 		}
 		frame, err := r.recv()
 		if err != nil {
-			return 0, errors.Wrap(errCut, "request body")
+			return 0, errors.Wrap(errStreamTruncated, "request body")
 		}
-		r.pending, r.ended = frame.Body, frame.Last
+		r.pending, r.done = frame.Body, frame.Last
 		for name := range r.trailer {
 			r.trailer[name] = frame.Trailer[name]
 		}
@@ -144,57 +147,58 @@
 	return n, nil
 }
 
-// callRemote sends a call to the node beside the target. It calls reached once the executor has shown that it has it.
+// callRemote sends a call to the node beside the target. It calls onAcknowledged when the executor's progress frame
+// arrives.
 func (n *Node) callRemote(
-	caller context.Context, target balance.Target, head *protocol.CallMetadata, body *requestBody, reached func(),
-) *reply {
-	ctx, cancel := context.WithCancel(caller)
-	pending := n.liveness.sent(target, head.Class, cancel)
-	defer pending.end()
+	callerCtx context.Context, target balance.Target, meta *protocol.CallMetadata, body *requestBody, onAcknowledged func(),
+) *callReply {
+	ctx, cancel := context.WithCancel(callerCtx)
+	pending := n.liveness.trackCall(target, meta.Class, cancel)
+	defer pending.finish()
 	stream, err := n.calls.Call(ctx, target.Address)
 	if err != nil {
 		cancel()
 		// No frame was sent, so the call cannot have run.
-		return refusal(protocol.ReasonNodeFailed)
+		return notRunReply(protocol.ReasonNodeFailed)
 	}
-	if err := sendCall(stream, head, body); err != nil {
+	if err := sendCall(stream, meta, body); err != nil {
 		cancel()
-		return brokenCall(caller, err)
+		return failedCallReply(callerCtx, err)
 	}
 	first, err := stream.Recv()
 	if err == nil && first.Progress {
-		reached()
-		pending.heard()
+		onAcknowledged()
+		pending.responded()
 		first, err = stream.Recv()
 	}
 	if err != nil || first.Metadata == nil {
 		cancel()
-		return brokenCall(caller, err)
+		return failedCallReply(callerCtx, err)
 	}
-	pending.heard()
-	answer := &reply{head: *first.Metadata, body: first.Body, trailer: first.Trailer, done: cancel}
+	pending.responded()
+	reply := &callReply{metadata: *first.Metadata, body: first.Body, trailer: first.Trailer, onFinish: cancel}
 	if first.Last {
-		return answer
+		return reply
 	}
-	answer.stream = &remoteStream{stream: stream, cancel: cancel}
-	return answer
+	reply.stream = &remoteStream{stream: stream, cancel: cancel}
+	return reply
 }
 
-// brokenCall explains why a call that was sent has no answer.
-func brokenCall(caller context.Context, err error) *reply {
+// failedCallReply returns the reply to a call that was sent and got no reply; it may have run.
+func failedCallReply(callerCtx context.Context, err error) *callReply {
 	switch {
-	case errors.Is(caller.Err(), context.DeadlineExceeded), errors.Is(err, rpc.ErrTimeout):
-		return uncertain(protocol.ReasonDeadline)
-	case caller.Err() != nil:
-		return uncertain(protocol.ReasonCallerGone)
+	case errors.Is(callerCtx.Err(), context.DeadlineExceeded), errors.Is(err, rpc.ErrTimeout):
+		return unknownReply(protocol.ReasonDeadline)
+	case callerCtx.Err() != nil:
+		return unknownReply(protocol.ReasonCallerGone)
 	}
-	return uncertain(protocol.ReasonNodeFailed)
+	return unknownReply(protocol.ReasonNodeFailed)
 }
 
-// sendCall sends the head with the start of the body, then the rest.
-func sendCall(stream rpc.CallClientStream, head *protocol.CallMetadata, body *requestBody) error {
-	first := &protocol.CallFrame{Metadata: head, Body: body.start, Last: body.whole()}
-	if body.whole() {
+// sendCall sends the metadata with the start of the body, then the rest.
+func sendCall(stream rpc.CallClientStream, meta *protocol.CallMetadata, body *requestBody) error {
+	first := &protocol.CallFrame{Metadata: meta, Body: body.prefix, Last: body.buffered()}
+	if body.buffered() {
 		first.Trailer = body.trailer
 		return stream.Send(first)
 	}
@@ -203,24 +207,24 @@
 	}
 	for {
 		buffer := make([]byte, protocol.ChunkBytes)
-		n, ended, err := readChunk(body.rest, buffer)
+		n, last, err := readChunk(body.rest, buffer)
 		if err != nil {
 			return err
 		}
-		frame := &protocol.CallFrame{Body: buffer[:n], Last: ended}
-		if ended {
+		frame := &protocol.CallFrame{Body: buffer[:n], Last: last}
+		if last {
 			frame.Trailer = body.trailer
 		}
 		if err := stream.Send(frame); err != nil {
 			return err
 		}
-		if ended {
+		if last {
 			return nil
 		}
 	}
 }
 
-// remoteStream passes on the frames of a long answer.
+// remoteStream receives the frames of a long response from another node.
 type remoteStream struct {
 	stream rpc.CallClientStream
 	cancel context.CancelFunc
@@ -230,10 +234,10 @@
 func (s *remoteStream) Next() (*protocol.ReplyFrame, error) {
 	frame, err := s.stream.Recv()
 	if err != nil {
-		return nil, errors.Wrapf(errCut, "%v", err)
+		return nil, errors.Wrapf(errStreamTruncated, "%v", err)
 	}
 	return frame, nil
 }
 
-// Close ends the stream.
+// Close cancels the call.
 func (s *remoteStream) Close() { s.cancel() }
--- a/node/control.go
+++ b/node/control.go
@@ -26,13 +26,13 @@
 		metrics:     n.metrics,
 		requestLog:  newRequestLog(logging.Part(n.options.Logger, "executor"), n.metrics.linesDropped),
 
-		settingsService: n.options.Service,
-		dialect:         &n.options.Dialect,
+		configuredService: n.options.Service,
+		dialect:           &n.options.Dialect,
 
 		healthInterval: n.options.Limits.HealthInterval,
 		queue:          admission.New(admission.Config{Slots: 1}),
-		waiting:        make(map[uint64]chan admission.Verdict),
-		running:        make(map[uint64]*runningCall),
+		waiters:        make(map[uint64]chan admission.Verdict),
+		active:         make(map[uint64]*activeCall),
 		ledger:         &ledgerClient{pool: n.ledgerPool, members: func() []string { return n.options.Members }},
 		service: func(name string) (bundle.Service, bool) {
 			current := n.snapshot.Load()
@@ -46,18 +46,18 @@
 			record.Address = n.options.Advertise
 			go n.control.Post(func(now time.Time) { n.peer.Announce(now, record) })
 		},
-		publish: n.publishReport,
+		publish: n.publishCrashReport,
 	}
 	e.ctx, e.stop = context.WithCancel(n.ctx)
 	return e
 }
 
-// close ends background work without waiting for answers to be recorded.
+// close cancels background work, including responses that are not recorded yet, and waits for it to end.
 func (e *executor) close() {
 	e.stop()
 	e.mu.Lock()
-	if e.expiry != nil {
-		e.expiry.Stop()
+	if e.expiryTimer != nil {
+		e.expiryTimer.Stop()
 	}
 	current := e.upstream
 	e.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// handleOutput carries out the relay's outputs that concern this node. It runs on the control goroutine.
+// handleOutput handles the relay's outputs that concern the node itself. It runs on the control goroutine.
 func (n *Node) handleOutput(now time.Time, output relay.Output) {
 	switch output := output.(type) {
 	case relay.Activate:
@@ -79,11 +79,11 @@
 			n.changedIDs[id] = true
 		}
 	case relay.CrashesReceived:
-		n.observeReports(now, output.Reports)
+		n.observeCrashReports(now, output.Reports)
 	}
 }
 
-// activate puts a bundle into force by one pointer swap, or leaves everything as it is.
+// activate puts a bundle into force by one pointer swap. On an error the previous snapshot stays in force.
 func (n *Node) activate(now time.Time, output relay.Activate) {
 	previous := n.snapshot.Load()
 	next, err := newSnapshot(now, output.Approval, output.Bundle, previous)
@@ -92,7 +92,7 @@
 		return
 	}
 	if previous != nil && !invariant.Check(next.version > previous.version, invariant.VersionRollback,
-		"a proxy would move back", map[string]any{"from": previous.version, "to": next.version}) {
+		"the activated version is not newer", map[string]any{"from": previous.version, "to": next.version}) {
 		return
 	}
 	n.snapshot.Store(next)
@@ -106,22 +106,22 @@
 	n.logger.Info().Uint64("version", next.version).Str("digest", next.digest.Short()).Msg("bundle in force")
 }
 
-// seenEndpoint is what the balancer was last told of an endpoint.
-type seenEndpoint struct {
+// knownEndpoint is what the balancer was last told of an endpoint.
+type knownEndpoint struct {
 	incarnation uint64
 	service     string
 	state       endpoints.State
-	// since is the time since when the upstream serves, as far as this node knows.
+	// since is the time at which this node first saw the upstream in service; zero if it was before this node's start.
 	since time.Time
 }
 
-// maxPartialServices is the number of changed services from which the whole table is handed over. Each service costs a
-// search of the table.
+// maxPartialServices is the highest number of changed services for which only their endpoints are passed to the
+// balancer; beyond it the whole table is. Each service costs a search of the table.
 const maxPartialServices = 16
 
-// refreshEndpoints hands changed endpoints to the balancer, once per batch of changes. A change costs the endpoints of
-// its service and one search of the table; handing over the whole table at each change would exceed the processor
-// limit of a node at 16,000 endpoints.
+// refreshEndpoints passes changed endpoints to the balancer, once per batch of changes. A change costs the endpoints of
+// its service and one search of the table; passing the whole table at each change would exceed the CPU limit of a node
+// at 16,000 endpoints.
 func (n *Node) refreshEndpoints(now time.Time) {
 	current := n.snapshot.Load()
 	if current == nil || !n.refreshAll && len(n.changedIDs) == 0 {
@@ -131,27 +131,27 @@
 	clear(n.changedIDs)
 	if n.refreshAll || len(services) > maxPartialServices {
 		n.refreshAll = false
-		n.balancer.Update(now, n.balanceTable(now, n.peer.Table().All()), current.services)
+		n.balancer.Update(now, n.balancerEndpoints(now, n.peer.Table().All()), current.services)
 		return
 	}
 	var records []endpoints.Record
 	for _, service := range services {
 		records = append(records, n.peer.Table().OfService(service)...)
 	}
-	n.balancer.UpdateServices(now, services, n.balanceTable(now, records), current.services)
+	n.balancer.UpdateServices(now, services, n.balancerEndpoints(now, records), current.services)
 }
 
-// changedServices lists the services that changed records belong to, or belonged to before. It forgets records that
-// were dropped.
+// changedServices lists the services to which changed records belong or belonged before. It deletes records that are no
+// longer in the table from knownEndpoints.
 func (n *Node) changedServices() []string {
 	changed := make(map[string]bool)
 	for id := range n.changedIDs {
-		if seen, ok := n.seen[id]; ok {
-			changed[seen.service] = true
+		if known, ok := n.knownEndpoints[id]; ok {
+			changed[known.service] = true
 		}
 		record, ok := n.peer.Table().Get(id)
 		if !ok {
-			delete(n.seen, id)
+			delete(n.knownEndpoints, id)
 			continue
 		}
 		changed[record.Service] = true
@@ -160,35 +160,37 @@
 	return slices.Sorted(maps.Keys(changed))
 }
 
-func (n *Node) balanceTable(now time.Time, records []endpoints.Record) []balance.Endpoint {
-	first := len(n.seen) == 0
+// balancerEndpoints converts records for the balancer and keeps them in knownEndpoints.
+func (n *Node) balancerEndpoints(now time.Time, records []endpoints.Record) []balance.Endpoint {
+	firstTable := len(n.knownEndpoints) == 0
 	table := make([]balance.Endpoint, 0, len(records))
 	for _, record := range records {
 		if record.Service == "" {
 			continue
 		}
-		seen := n.sight(now, record, first)
-		n.seen[record.ID] = seen
+		known := n.observeEndpoint(now, record, firstTable)
+		n.knownEndpoints[record.ID] = known
 		table = append(table, balance.Endpoint{
 			ID: record.ID, Incarnation: record.Incarnation, Zone: record.Zone, Service: record.Service,
-			Address: record.Address, State: balanceStates[record.State], Slots: record.Slots, ServingSince: seen.since,
+			Address: record.Address, State: balanceStates[record.State], Slots: record.Slots, ServingSince: known.since,
 		})
 	}
 	return table
 }
 
-// sight notes since when an upstream serves. What is there when this node starts has probably served for long.
-func (n *Node) sight(now time.Time, record endpoints.Record, first bool) seenEndpoint {
-	known, ok := n.seen[record.ID]
-	sight := seenEndpoint{incarnation: record.Incarnation, service: record.Service, state: record.State, since: now}
-	returned := known.state == endpoints.Gone && record.State != endpoints.Gone
+// observeEndpoint determines the time since which an upstream serves. Upstreams in the first table that this node gets
+// have a zero time: they have probably served for long.
+func (n *Node) observeEndpoint(now time.Time, record endpoints.Record, firstTable bool) knownEndpoint {
+	known, ok := n.knownEndpoints[record.ID]
+	observed := knownEndpoint{incarnation: record.Incarnation, service: record.Service, state: record.State, since: now}
+	servesAgain := known.state == endpoints.Gone && record.State != endpoints.Gone
 	switch {
-	case first:
-		sight.since = time.Time{}
-	case ok && known.incarnation == record.Incarnation && !returned:
-		sight.since = known.since
+	case firstTable:
+		observed.since = time.Time{}
+	case ok && known.incarnation == record.Incarnation && !servesAgain:
+		observed.since = known.since
 	}
-	return sight
+	return observed
 }
 
 var balanceStates = map[endpoints.State]balance.State{
@@ -198,8 +200,8 @@
 	endpoints.Suspect:  balance.Suspect,
 }
 
-// publishReport spreads a crash report or clearance through the tree.
-func (n *Node) publishReport(report quarantine.Report) {
+// publishCrashReport distributes a crash report or clearance through the distribution tree.
+func (n *Node) publishCrashReport(report quarantine.Report) {
 	encoded, err := protocol.EncodeCrashReport(report)
 	if err != nil {
 		n.logger.Error().Err(err).Msg("cannot encode a crash report")
@@ -208,7 +210,7 @@
 	n.control.Post(func(now time.Time) { n.peer.PublishCrash(now, []relay.CrashReport{encoded}) })
 }
 
-func (n *Node) observeReports(now time.Time, reports []relay.CrashReport) {
+func (n *Node) observeCrashReports(now time.Time, reports []relay.CrashReport) {
 	for _, encoded := range reports {
 		report, err := protocol.DecodeCrashReport(encoded)
 		if err != nil {
--- a/node/executor.go
+++ b/node/executor.go
@@ -23,18 +23,18 @@
 	logger      zerolog.Logger
 	ledger      *ledgerClient
 	quarantine  *quarantine.List
-	// service returns the settings of a service in the configuration in force.
+	// service returns a service as the configuration in force defines it.
 	service func(name string) (bundle.Service, bool)
-	// announce publishes the state of the upstream.
+	// announce publishes the upstream's endpoint record to the mesh.
 	announce func(endpoints.Record)
-	// publish spreads crash reports and clearances.
+	// publish distributes a crash report or clearance to all nodes.
 	publish        func(quarantine.Report)
 	metrics        *metrics
 	requestLog     *requestLog
 	dialect        *protocol.Dialect
 	healthInterval time.Duration
-	// background holds what outlives its caller: recording answers and probing.
-	background background
+	// background runs work that outlives the call that started it: recording responses and probing.
+	background taskGroup
 	ctx        context.Context
 	stop       context.CancelFunc
 
@@ -42,96 +42,99 @@
 	upstream *upstream
 	state    upstreamState
 	queue    *admission.Queue
-	waiting  map[uint64]chan admission.Verdict
-	running  map[uint64]*runningCall
-	nextID   uint64
-	// claiming counts the irreversible calls between claim and slot.
-	claiming int
-	expiry   *time.Timer
-	// crashCheck is open while a broken connection is being explained.
-	crashCheck *crashCheck
-	lineage    lineage
-	// settingsService is what runs beside the node until an upstream announces itself.
-	settingsService string
-	// departed is set once the upstream said that it is about to end; leaving once this process is.
-	departed, leaving bool
-	// drained is the time at which the upstream began to leave.
-	drained time.Time
+	// waiters holds the channel of each call that waits for a slot; active holds these calls and those that have one.
+	waiters map[uint64]chan admission.Verdict
+	active  map[uint64]*activeCall
+	nextID  uint64
+	// pendingClaims counts the irreversible calls that have sent their claim and do not run yet.
+	pendingClaims int
+	expiryTimer   *time.Timer
+	// crashCheck is set while the upstream is probed after a broken connection.
+	crashCheck    *crashCheck
+	lastHeartbeat heartbeatPosition
+	// configuredService is the service that the settings name; it is used until an upstream announces itself.
+	configuredService string
+	// deregistered is set once the upstream has said that it is about to stop; stopping once this process is.
+	deregistered, stopping bool
+	// drainStarted is the time at which the current drain began.
+	drainStarted time.Time
 }
 
-// runningCall is a call that holds a slot.
-type runningCall struct {
+// activeCall is a call that waits for a slot or holds one; started is zero while it waits.
+type activeCall struct {
 	fingerprint quarantine.Fingerprint
-	alone       bool
+	exclusive   bool
 	started     time.Time
 }
 
-// place is a call's slot.
-type place struct {
-	id       uint64
+// grantedSlot is a slot that a call holds on an upstream.
+type grantedSlot struct {
+	callID   uint64
 	upstream *upstream
 }
 
-// drainTolerance is how long after an upstream began to leave a call may still start: the refusal is local, so only
-// calls that were admitted at that very moment can.
+// drainTolerance is how long after the start of a drain a call may still start. This node itself refuses calls during
+// the drain, so only a call that was admitted just before can start late.
 const drainTolerance = 3 * time.Second
 
-// admit waits for a slot. On refusal the reason is set and the call was not run.
-func (e *executor) admit(ctx context.Context, head *protocol.CallMetadata, deadline time.Time) (*place, protocol.Reason) {
+// admit waits for a slot on the upstream. It returns a nil slot and the reason if the call is refused.
+func (e *executor) admit(
+	ctx context.Context, meta *protocol.CallMetadata, deadline time.Time,
+) (*grantedSlot, protocol.Reason) {
 	now := time.Now()
-	fingerprint := quarantine.Fingerprint(head.Fingerprint)
-	verdict := e.quarantine.Verdict(now, fingerprint)
-	if verdict == quarantine.Refused {
+	fingerprint := quarantine.Fingerprint(meta.Fingerprint)
+	quarantineVerdict := e.quarantine.Verdict(now, fingerprint)
+	if quarantineVerdict == quarantine.Refused {
 		return nil, protocol.ReasonQuarantined
 	}
 	e.mu.Lock()
-	if reason := e.unavailable(head); reason != protocol.ReasonNone {
+	if reason := e.unavailableReason(meta); reason != protocol.ReasonNone {
 		e.mu.Unlock()
 		return nil, reason
 	}
 	e.nextID++
 	id := e.nextID
-	call := &runningCall{fingerprint: fingerprint, alone: head.Exclusive || verdict == quarantine.Exclusive}
+	call := &activeCall{fingerprint: fingerprint, exclusive: meta.Exclusive || quarantineVerdict == quarantine.Exclusive}
 	ticket := admission.Ticket{
-		ID: id, Class: head.Class, Priority: head.Priority, Route: head.Route, Deadline: deadline, Exclusive: call.alone,
+		ID: id, Class: meta.Class, Priority: meta.Priority, Route: meta.Route, Deadline: deadline, Exclusive: call.exclusive,
 	}
-	if head.TargetRemaining > 0 {
-		ticket.TargetTime = now.Add(head.TargetRemaining)
+	if meta.TargetRemaining > 0 {
+		ticket.TargetTime = now.Add(meta.TargetRemaining)
 	}
-	admitted := e.queue.Offer(now, ticket)
-	e.running[id] = call
+	verdict := e.queue.Offer(now, ticket)
+	e.active[id] = call
 	var waiter chan admission.Verdict
-	if admitted.Action == admission.Wait {
+	if verdict.Action == admission.Wait {
 		waiter = make(chan admission.Verdict, 1)
-		e.waiting[id] = waiter
+		e.waiters[id] = waiter
 	}
-	e.decide(e.queue.Expire(now))
-	chosen := e.upstream
+	e.applyDecisions(e.queue.Expire(now))
+	target := e.upstream
 	e.mu.Unlock()
 	if waiter != nil {
-		admitted = e.await(ctx, id, waiter)
+		verdict = e.awaitVerdict(ctx, id, waiter)
 	}
-	if admitted.Action == admission.Run {
+	if verdict.Action == admission.Run {
 		e.metrics.waitTime.Observe(time.Since(now).Seconds())
 	}
-	return e.conclude(ctx, id, chosen, admitted)
+	return e.finishAdmission(ctx, id, target, verdict)
 }
 
-// unavailable returns why the upstream takes no calls. The lock is held.
-func (e *executor) unavailable(head *protocol.CallMetadata) protocol.Reason {
+// unavailableReason returns why the upstream cannot take the call, or ReasonNone. The caller holds e.mu.
+func (e *executor) unavailableReason(meta *protocol.CallMetadata) protocol.Reason {
 	switch {
 	case e.state == upstreamDraining:
 		return protocol.ReasonDraining
-	case e.state != upstreamServing, e.upstream.announcement.Service != head.Service:
+	case e.state != upstreamServing, e.upstream.announcement.Service != meta.Service:
 		return protocol.ReasonNoUpstream
-	case head.Incarnation != 0 && head.Incarnation != e.incarnation:
+	case meta.Incarnation != 0 && meta.Incarnation != e.incarnation:
 		return protocol.ReasonNoUpstream
 	}
 	return protocol.ReasonNone
 }
 
-// await blocks until the queue decides or the caller leaves.
-func (e *executor) await(ctx context.Context, id uint64, waiter chan admission.Verdict) admission.Verdict {
+// awaitVerdict blocks until the queue decides or the context ends.
+func (e *executor) awaitVerdict(ctx context.Context, id uint64, waiter chan admission.Verdict) admission.Verdict {
 	select {
 	case verdict := <-waiter:
 		return verdict
@@ -144,30 +147,31 @@
 		return verdict
 	default:
 	}
-	delete(e.waiting, id)
-	delete(e.running, id)
-	e.decide(e.queue.Cancel(time.Now(), id))
+	delete(e.waiters, id)
+	delete(e.active, id)
+	e.applyDecisions(e.queue.Cancel(time.Now(), id))
 	return admission.Verdict{Action: admission.Shed, Reason: admission.ReasonDeadline}
 }
 
-func (e *executor) conclude(
-	ctx context.Context, id uint64, chosen *upstream, verdict admission.Verdict,
-) (*place, protocol.Reason) {
+// finishAdmission turns the queue's verdict into a slot or the reason of the refusal.
+func (e *executor) finishAdmission(
+	ctx context.Context, id uint64, target *upstream, verdict admission.Verdict,
+) (*grantedSlot, protocol.Reason) {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if verdict.Action != admission.Run {
-		delete(e.running, id)
+		delete(e.active, id)
 		return nil, shedReason(ctx, verdict.Reason)
 	}
 	if e.state == upstreamDraining {
-		invariant.Check(now.Sub(e.drained) <= drainTolerance, invariant.LateDrainWork,
-			"a call starts on an upstream that is leaving", map[string]any{"since_ms": now.Sub(e.drained).Milliseconds()})
+		invariant.Check(now.Sub(e.drainStarted) <= drainTolerance, invariant.LateDrainWork,
+			"a call starts on a draining upstream", map[string]any{"since_ms": now.Sub(e.drainStarted).Milliseconds()})
 	}
-	if call := e.running[id]; call != nil {
+	if call := e.active[id]; call != nil {
 		call.started = now
 	}
-	return &place{id: id, upstream: chosen}, protocol.ReasonNone
+	return &grantedSlot{callID: id, upstream: target}, protocol.ReasonNone
 }
 
 func shedReason(ctx context.Context, reason admission.Reason) protocol.Reason {
@@ -183,30 +187,32 @@
 	}
 }
 
-// release gives a slot back. service is the time that the upstream spent on the call; 0 if it did not run.
-func (e *executor) release(p *place, service time.Duration) {
+// releaseSlot returns a slot to the queue. serviceTime is the time that the upstream spent on the call; 0 if the call
+// did not run.
+func (e *executor) releaseSlot(slot *grantedSlot, serviceTime time.Duration) {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, ok := e.running[p.id]; !ok {
+	if _, ok := e.active[slot.callID]; !ok {
 		return
 	}
-	delete(e.running, p.id)
-	if service > 0 {
-		e.decide(e.queue.Finish(now, p.id, service))
+	delete(e.active, slot.callID)
+	if serviceTime > 0 {
+		e.applyDecisions(e.queue.Finish(now, slot.callID, serviceTime))
 	} else {
-		e.decide(e.queue.Cancel(now, p.id))
+		e.applyDecisions(e.queue.Cancel(now, slot.callID))
 	}
 }
 
-// decide hands out the queue's decisions and arms the timer for the next one. The lock is held.
-func (e *executor) decide(decisions []admission.Decision) {
+// applyDecisions delivers the queue's decisions to the waiting calls and sets the timer for the next expiry. The caller
+// holds e.mu.
+func (e *executor) applyDecisions(decisions []admission.Decision) {
 	for _, decision := range decisions {
-		waiter := e.waiting[decision.ID]
+		waiter := e.waiters[decision.ID]
 		if waiter == nil {
 			continue
 		}
-		delete(e.waiting, decision.ID)
+		delete(e.waiters, decision.ID)
 		waiter <- decision.Verdict
 	}
 	next, ok := e.queue.NextExpiry()
@@ -214,20 +220,20 @@
 		return
 	}
 	delay := max(time.Until(next), 0)
-	if e.expiry == nil {
-		e.expiry = time.AfterFunc(delay, e.expire)
+	if e.expiryTimer == nil {
+		e.expiryTimer = time.AfterFunc(delay, e.expireQueue)
 		return
 	}
-	e.expiry.Reset(delay)
+	e.expiryTimer.Reset(delay)
 }
 
-func (e *executor) expire() {
+func (e *executor) expireQueue() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.decide(e.queue.Expire(time.Now()))
+	e.applyDecisions(e.queue.Expire(time.Now()))
 }
 
-// load returns the first-hand load for the ingress.
+// load returns the load of the upstream as measured by this node.
 func (e *executor) load() protocol.LoadReport {
 	e.mu.Lock()
 	load := e.queue.Load()
--- a/node/ledger.go
+++ b/node/ledger.go
@@ -12,20 +12,20 @@
 	"sapphiregate.example/sapphiregate/transport/rpc"
 )
 
-// errLedger means that the ledger gave no answer: the command may or may not be committed.
-var errLedger = errors.New("node: ledger gave no answer")
+// errLedgerUncertain means that the ledger did not confirm a command, which may or may not be committed.
+var errLedgerUncertain = errors.New("node: the ledger did not confirm the command")
 
-// errNotProposed means that no member accepted the command: it was surely not proposed.
+// errNotProposed means that no member accepted the command: it is certain that it was not proposed.
 var errNotProposed = errors.New("node: no control member accepted the command")
 
 const (
-	// ledgerAttemptTimeout bounds one proposal, so that a leader that was cut off is given up for another member.
+	// ledgerAttemptTimeout bounds one proposal, so that another member is tried if the leader is cut off.
 	ledgerAttemptTimeout = time.Second
 	ledgerRetryDelay     = 20 * time.Millisecond
 )
 
-// ledgerClient sends commands to the leaders of the ledger groups. Commands are idempotent, so a lost answer is asked
-// for again by sending the command again. It is safe for concurrent use.
+// ledgerClient sends commands to the leaders of the ledger groups. Commands are idempotent, so a command whose reply is
+// lost is sent again. It is safe for concurrent use.
 type ledgerClient struct {
 	pool *rpc.Pool
 	// members returns the known addresses of control members.
@@ -36,40 +36,42 @@
 	leaders []string
 }
 
-// do commits a command and returns its result. It tries until the context ends.
-func (c *ledgerClient) do(ctx context.Context, key string, command ledger.Command) (ledger.Result, error) {
+// commit commits a command and returns its result. It retries until the context ends, and then returns errNotProposed
+// or errLedgerUncertain.
+func (c *ledgerClient) commit(ctx context.Context, key string, command ledger.Command) (ledger.Result, error) {
 	data, err := protocol.Marshal(command)
 	if err != nil {
 		return ledger.Result{}, err
 	}
 	request := &protocol.ProposeRequest{Target: protocol.TargetLedger, Key: key, Command: data}
-	uncertain := false
-	for turn := 0; ; turn++ {
-		address := c.choose(key, turn)
+	maybeProposed := false
+	for attempt := 0; ; attempt++ {
+		address := c.chooseMember(key, attempt)
 		if address == "" {
-			return ledger.Result{}, errors.Wrap(errNotProposed, "none is known")
+			return ledger.Result{}, errors.Wrap(errNotProposed, "no member is known")
 		}
-		reply, err := c.attempt(ctx, address, request)
-		c.learn(key, address, reply)
+		reply, err := c.propose(ctx, address, request)
+		c.updateLeader(key, address, reply)
 		if err == nil && reply.Status == protocol.ProposeApplied {
 			var result ledger.Result
 			return result, protocol.Unmarshal(reply.Result, &result)
 		}
-		uncertain = uncertain || err != nil || reply.Status == protocol.ProposeUncertain
+		maybeProposed = maybeProposed || err != nil || reply.Status == protocol.ProposeUncertain
 		if ctx.Err() != nil {
 			cause := errNotProposed
-			if uncertain {
-				cause = errLedger
+			if maybeProposed {
+				cause = errLedgerUncertain
 			}
 			return ledger.Result{}, errors.Wrapf(cause, "%v", ctx.Err())
 		}
-		if turn > 0 {
+		if attempt > 0 {
 			sleep(ctx, ledgerRetryDelay)
 		}
 	}
 }
 
-func (c *ledgerClient) attempt(
+// propose sends a command to one member.
+func (c *ledgerClient) propose(
 	ctx context.Context, address string, request *protocol.ProposeRequest,
 ) (*protocol.ProposeReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, ledgerAttemptTimeout)
@@ -77,8 +79,9 @@
 	return c.pool.Propose(ctx, address, request)
 }
 
-// choose returns the leader of the key's group if it is known, otherwise the members in turn.
-func (c *ledgerClient) choose(key string, turn int) string {
+// chooseMember returns the leader of the key's group if it is known, otherwise the members in turn. It returns "" if no
+// member is known.
+func (c *ledgerClient) chooseMember(key string, attempt int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.leaders) > 0 {
@@ -90,11 +93,12 @@
 	if len(members) == 0 {
 		return ""
 	}
-	return members[turn%len(members)]
+	return members[attempt%len(members)]
 }
 
-// learn keeps the leader that answered or that a member named, and forgets one that gave no useful answer.
-func (c *ledgerClient) learn(key, address string, reply *protocol.ProposeReply) {
+// updateLeader stores the leader that applied a command or that a member named, and removes one that gave neither
+// reply.
+func (c *ledgerClient) updateLeader(key, address string, reply *protocol.ProposeReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if reply != nil && reply.LedgerGroups > 0 && reply.LedgerGroups != len(c.leaders) {
@@ -114,6 +118,7 @@
 	c.leaders[protocol.LedgerIndex(key, len(c.leaders))] = leader
 }
 
+// sleep waits for the duration or until the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- /dev/null
+++ b/node/request_tracker.go
@@ -0,0 +1,62 @@
+package node
+
+import (
+	"context"
+	"sync"
+
+	"sapphiregate.example/sapphiregate/protocol"
+)
+
+// requestTracker counts the callers' requests in flight. It bounds their number and lets a stop wait for them.
+type requestTracker struct {
+	// limit is the highest number of requests in flight.
+	limit int
+
+	mu       sync.Mutex
+	closed   bool
+	inFlight int
+	idle     chan struct{}
+}
+
+// admit counts a request, or returns why it is refused. The caller must call done at the end of an admitted request.
+func (t *requestTracker) admit() protocol.Reason {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	switch {
+	case t.closed:
+		return protocol.ReasonDraining
+	case t.inFlight >= t.limit:
+		return protocol.ReasonShed
+	}
+	t.inFlight++
+	return protocol.ReasonNone
+}
+
+func (t *requestTracker) done() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.inFlight--
+	if t.closed && t.inFlight == 0 {
+		close(t.idle)
+	}
+}
+
+// drain refuses further requests and waits until none is in flight, or until the context ends.
+func (t *requestTracker) drain(ctx context.Context) error {
+	t.mu.Lock()
+	if !t.closed {
+		t.closed = true
+		t.idle = make(chan struct{})
+		if t.inFlight == 0 {
+			close(t.idle)
+		}
+	}
+	idle := t.idle
+	t.mu.Unlock()
+	select {
+	case <-idle:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -12,23 +12,24 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// snapshot is the configuration that traffic reads. It is immutable once it is published, apart from the counters of
-// its budgets and limiters, which are safe for concurrent use.
+// snapshot is the configuration in force as the ingress and the executor read it. It is immutable once published,
+// apart from the counters of its budgets and limiters, which are safe for concurrent use.
 type snapshot struct {
 	version  uint64
 	digest   bundle.Digest
 	routes   *routing.Table
 	services map[string]bundle.Service
-	// maxBodyBytes bounds the bodies on routes without a bound of their own; 0 leaves that to the settings.
+	// maxBodyBytes bounds request bodies on routes that set no limit; 0 means that Limits.MaxBodyBytes applies.
 	maxBodyBytes int64
 	policies     map[string]*routePolicy
 	since        time.Time
 }
 
-// maxSkippedTurns spreads the turns of split routes over processes.
-const maxSkippedTurns = 100
+// maxSplitOffset bounds the random position at which a process starts in the sequence of a split route, so that the
+// processes do not all send their first calls to the same service.
+const maxSplitOffset = 100
 
-// routePolicy holds what a route needs per call.
+// routePolicy holds the retry budget, header fields, call limit and traffic split of a route.
 type routePolicy struct {
 	budget  *retry.Budget
 	headers map[string]string
@@ -36,8 +37,8 @@
 	split   *routing.Splitter
 }
 
-// newSnapshot builds the traffic view of a bundle. Policies of unchanged routes are kept from the previous snapshot,
-// so that a new version does not refill budgets and limiters.
+// newSnapshot builds the snapshot of a bundle. It keeps budgets and limiters of unchanged routes from the previous
+// snapshot, so that a new version does not refill them.
 func newSnapshot(now time.Time, approval bundle.Approval, b *bundle.Bundle, previous *snapshot) (*snapshot, error) {
 	routes, err := routing.New(b)
 	if err != nil {
@@ -68,21 +69,23 @@
 	return next, nil
 }
 
+// newRoutePolicy builds the policy of a route. It keeps the budget of the previous snapshot if the route's retry
+// settings are unchanged.
 func newRoutePolicy(route *routing.Route, previous *snapshot) *routePolicy {
 	policy := &routePolicy{}
 	if len(route.Split) > 0 {
-		policy.split = routing.NewSplitter(route.Split, rand.IntN(maxSkippedTurns))
+		policy.split = routing.NewSplitter(route.Split, rand.IntN(maxSplitOffset))
 	} else {
 		policy.split = routing.NewSplitter(route.Shares(), 0)
 	}
-	var kept *routePolicy
+	var previousPolicy *routePolicy
 	if previous != nil {
 		if old, ok := previous.routes.Named(route.Name); ok {
-			kept = previous.policies[route.Name]
+			previousPolicy = previous.policies[route.Name]
 			if old.Retry != route.Retry {
 				policy.budget = nil
 			} else {
-				policy.budget = kept.budget
+				policy.budget = previousPolicy.budget
 			}
 		}
 	}
@@ -92,12 +95,14 @@
 		})
 	}
 	for _, resource := range route.Resources {
-		policy.apply(resource, kept)
+		policy.apply(resource, previousPolicy)
 	}
 	return policy
 }
 
-func (p *routePolicy) apply(resource bundle.Resource, kept *routePolicy) {
+// apply adds a resource of the route to the policy. It keeps the limiter of the previous policy if the limit is
+// unchanged.
+func (p *routePolicy) apply(resource bundle.Resource, previous *routePolicy) {
 	switch {
 	case resource.Kind == bundle.ResourceHeaders:
 		if p.headers == nil {
@@ -108,8 +113,8 @@
 		}
 	case resource.Kind == bundle.ResourceCallLimit && resource.CallLimit != nil:
 		limit, burst := rate.Limit(resource.CallLimit.CallsPerSecond), resource.CallLimit.Burst
-		if kept != nil && kept.limiter != nil && kept.limiter.Limit() == limit && kept.limiter.Burst() == burst {
-			p.limiter = kept.limiter
+		if previous != nil && previous.limiter != nil && previous.limiter.Limit() == limit && previous.limiter.Burst() == burst {
+			p.limiter = previous.limiter
 			return
 		}
 		p.limiter = rate.NewLimiter(limit, burst)
