--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -17,8 +17,8 @@
 	UnderRetry bool
 	// Resendable is false if part of the request's body is gone after the first attempt.
 	Resendable bool
-	// Alone is set for requests that are suspect of crashing upstreams.
-	Alone bool
+	// Exclusive is set for requests that are suspect of crashing upstreams.
+	Exclusive bool
 }
 
 // Result is the end of one attempt.
@@ -26,10 +26,10 @@
 	Outcome retry.Outcome
 	// Final is set if no other upstream can do better, for example if the request itself is refused.
 	Final bool
-	// Reached is set if the upstream itself refused the request, rather than a process of ours before it.
-	Reached bool
-	// Failed is set on a complete answer that says that the upstream failed. Another upstream may do better.
-	Failed bool
+	// RefusedByUpstream is set if the upstream itself refused the request, rather than a process of ours before it.
+	RefusedByUpstream bool
+	// ErrorResponse is set on a complete answer that says that the upstream failed. Another upstream may do better.
+	ErrorResponse bool
 	// Suspect is set if the request was in flight when an upstream crashed.
 	Suspect bool
 }
@@ -41,10 +41,10 @@
 const (
 	// Wait for an attempt that is still in flight.
 	Wait Action = iota
-	// Send makes another attempt after Decision.After.
-	Send
-	// Answer ends the call with the result that was just given.
-	Answer
+	// Retry makes another attempt after Decision.After.
+	Retry
+	// Respond ends the call with the result that was just given.
+	Respond
 	// Fail ends the call without an answer; Verdict says what the caller is told.
 	Fail
 )
@@ -52,7 +52,7 @@
 // Decision is the answer to the end of an attempt.
 type Decision struct {
 	Action Action
-	After  time.Duration
+	Delay  time.Duration
 }
 
 // Call is the state of one call. It is not safe for concurrent use.
@@ -67,10 +67,10 @@
 }
 
 // New returns the state before the first attempt.
-func New(c Config) *Call { return &Call{config: c, suspect: c.Alone} }
+func New(c Config) *Call { return &Call{config: c, suspect: c.Exclusive} }
 
-// Sent counts an attempt that starts.
-func (c *Call) Sent() {
+// AttemptStarted counts an attempt that starts.
+func (c *Call) AttemptStarted() {
 	c.sent++
 	c.pending++
 }
@@ -87,8 +87,8 @@
 	return c.MayHedge(now) && c.pending == 1 && !c.stopped && c.config.Budget.Allow(now)
 }
 
-// Ended takes the result of an attempt.
-func (c *Call) Ended(now time.Time, r Result, source rand.Source) Decision {
+// AttemptEnded takes the result of an attempt.
+func (c *Call) AttemptEnded(now time.Time, r Result, source rand.Source) Decision {
 	c.pending--
 	c.suspect = c.suspect || r.Suspect
 	c.stopped = c.stopped || r.Final
@@ -105,26 +105,26 @@
 		return Decision{Action: Fail}
 	}
 	if c.freeRetry(now, r) {
-		return Decision{Action: Send}
+		return Decision{Action: Retry}
 	}
 	delay, again := c.config.Budget.Decide(now, c.attempt(now, r.Outcome), source)
 	if !again {
 		return Decision{Action: Fail}
 	}
-	return Decision{Action: Send, After: delay}
+	return Decision{Action: Retry, Delay: delay}
 }
 
 // answered ends the call with a complete answer, unless that says that the upstream failed and the budget allows to try
 // another one. The answer stays good enough for the caller if that does not help.
 func (c *Call) answered(now time.Time, r Result, source rand.Source) Decision {
-	if !r.Failed || c.pending > 0 || c.stopped || !c.config.Resendable {
-		return Decision{Action: Answer}
+	if !r.ErrorResponse || c.pending > 0 || c.stopped || !c.config.Resendable {
+		return Decision{Action: Respond}
 	}
 	delay, again := c.config.Budget.Decide(now, c.attempt(now, retry.Unknown), source)
 	if !again {
-		return Decision{Action: Answer}
+		return Decision{Action: Respond}
 	}
-	return Decision{Action: Send, After: delay}
+	return Decision{Action: Retry, Delay: delay}
 }
 
 // freeRetry reports whether a call may try another upstream at once and outside the budget. An attempt that reached no
@@ -132,7 +132,7 @@
 // budget would refuse calls that there is capacity for. A refusal by the upstream is charged: upstreams that refuse a
 // part of their requests would otherwise draw a repeat for each.
 func (c *Call) freeRetry(now time.Time, r Result) bool {
-	return r.Outcome == retry.NotRun && !r.Reached && c.sent == 1 && c.config.Budget.Retryable(c.attempt(now, r.Outcome))
+	return r.Outcome == retry.NotRun && !r.RefusedByUpstream && c.sent == 1 && c.config.Budget.Retryable(c.attempt(now, r.Outcome))
 }
 
 func (c *Call) attempt(now time.Time, outcome retry.Outcome) retry.Attempt {
@@ -142,9 +142,9 @@
 	}
 }
 
-// Verdict is what a caller without an answer is told. An earlier attempt that may have run, or one that is still in
+// Outcome is what a caller without an answer is told. An earlier attempt that may have run, or one that is still in
 // flight, rules out "not run" whatever the last attempt ended with.
-func (c *Call) Verdict() retry.Outcome {
+func (c *Call) Outcome() retry.Outcome {
 	if c.uncertain || c.pending > 0 {
 		return retry.Unknown
 	}
--- a/coordination/forward/forward_test.go
+++ b/coordination/forward/forward_test.go
@@ -35,11 +35,11 @@
 	// same call was still running on an upstream when it was given up.
 	It("is uncertain after an attempt that may have run, whatever the next one ends with", func() {
 		call := newCall(bundle.ClassLookup)
-		call.Sent()
-		Expect(call.Ended(start, forward.Result{Outcome: retry.Unknown}, rand.NewPCG(1, 1)).Action).To(Equal(forward.Send))
-		call.Sent()
-		call.Ended(start, forward.Result{Outcome: retry.NotRun, Final: true}, rand.NewPCG(1, 1))
-		Expect(call.Verdict()).To(Equal(retry.Unknown))
+		call.AttemptStarted()
+		Expect(call.AttemptEnded(start, forward.Result{Outcome: retry.Unknown}, rand.NewPCG(1, 1)).Action).To(Equal(forward.Retry))
+		call.AttemptStarted()
+		call.AttemptEnded(start, forward.Result{Outcome: retry.NotRun, Final: true}, rand.NewPCG(1, 1))
+		Expect(call.Outcome()).To(Equal(retry.Unknown))
 	})
 
 	// Guards against a repeat for each request when all upstreams of a service refuse half of what reaches them: the
@@ -52,9 +52,9 @@
 			call := forward.New(forward.Config{
 				Class: bundle.ClassLookup, Budget: budget, Deadline: start.Add(time.Second), Resendable: true,
 			})
-			call.Sent()
-			refused := forward.Result{Outcome: retry.NotRun, Reached: true}
-			if call.Ended(start, refused, rand.NewPCG(1, 1)).Action == forward.Send {
+			call.AttemptStarted()
+			refused := forward.Result{Outcome: retry.NotRun, RefusedByUpstream: true}
+			if call.AttemptEnded(start, refused, rand.NewPCG(1, 1)).Action == forward.Retry {
 				repeats++
 			}
 		}
@@ -69,17 +69,17 @@
 			Deadline: start.Add(time.Second), Resendable: true,
 		})
 		refused := forward.Result{Outcome: retry.NotRun}
-		call.Sent()
-		Expect(call.Ended(start, refused, rand.NewPCG(1, 1)).Action).To(Equal(forward.Send))
-		call.Sent()
-		Expect(call.Ended(start, refused, rand.NewPCG(1, 1)).Action).To(Equal(forward.Send), "the one saved retry")
-		call.Sent()
-		Expect(call.Ended(start, refused, rand.NewPCG(1, 1)).Action).To(Equal(forward.Fail))
+		call.AttemptStarted()
+		Expect(call.AttemptEnded(start, refused, rand.NewPCG(1, 1)).Action).To(Equal(forward.Retry))
+		call.AttemptStarted()
+		Expect(call.AttemptEnded(start, refused, rand.NewPCG(1, 1)).Action).To(Equal(forward.Retry), "the one saved retry")
+		call.AttemptStarted()
+		Expect(call.AttemptEnded(start, refused, rand.NewPCG(1, 1)).Action).To(Equal(forward.Fail))
 	})
 
 	It("never has two attempts of an irreversible call in flight", func() {
 		call := newCall(bundle.ClassIrreversible)
-		call.Sent()
+		call.AttemptStarted()
 		Expect(call.MayHedge(start)).To(BeFalse())
 		Expect(call.Hedge(start)).To(BeFalse())
 	})
@@ -90,10 +90,10 @@
 			class := rapid.SampledFrom([]bundle.Class{bundle.ClassLookup, bundle.ClassIrreversible}).Draw(t, "class")
 			call := newCall(class)
 			now, pending, mayHaveRun := start, 1, false
-			call.Sent()
+			call.AttemptStarted()
 			for sent := 1; pending > 0; {
 				if rapid.Bool().Draw(t, "hedge") && call.Hedge(now) {
-					call.Sent()
+					call.AttemptStarted()
 					sent, pending = sent+1, pending+1
 				}
 				if class == bundle.ClassIrreversible && pending > 1 {
@@ -103,14 +103,14 @@
 				result := forward.Result{
 					Outcome: outcome, Final: rapid.Bool().Draw(t, "final"), Suspect: rapid.Bool().Draw(t, "suspect"),
 				}
-				decision := call.Ended(now, result, rand.NewPCG(1, uint64(sent)))
+				decision := call.AttemptEnded(now, result, rand.NewPCG(1, uint64(sent)))
 				pending--
 				if class == bundle.ClassIrreversible && mayHaveRun {
 					t.Fatalf("an irreversible call was sent again after an attempt that may have run")
 				}
 				mayHaveRun = mayHaveRun || outcome == retry.Unknown
-				if decision.Action == forward.Send {
-					call.Sent()
+				if decision.Action == forward.Retry {
+					call.AttemptStarted()
 					sent, pending = sent+1, pending+1
 				}
 				if sent > 4 {
@@ -118,8 +118,8 @@
 				}
 				now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
 			}
-			if (call.Verdict() == retry.NotRun) == mayHaveRun {
-				t.Fatalf("verdict %v, may have run %v", call.Verdict(), mayHaveRun)
+			if (call.Outcome() == retry.NotRun) == mayHaveRun {
+				t.Fatalf("verdict %v, may have run %v", call.Outcome(), mayHaveRun)
 			}
 		})
 	})
--- a/node/forwarding.go
+++ b/node/forwarding.go
@@ -53,7 +53,7 @@
 		case result := <-f.results:
 			f.pending--
 			switch f.handle(ctx, result) {
-			case forward.Answer:
+			case forward.Respond:
 				return f.answer(result)
 			case forward.Fail:
 				return f.fail()
@@ -125,7 +125,7 @@
 	}
 	f.tried = append(f.tried, target.ID)
 	c.tried = f.tried
-	f.plan.Sent()
+	f.plan.AttemptStarted()
 	f.pending++
 	started := &attempt{forwarding: f, number: len(f.cancels), target: target}
 	var cancel context.CancelFunc
@@ -144,13 +144,13 @@
 // handle takes the end of an attempt and starts the next one where the plan says so.
 func (f *forwarding) handle(ctx context.Context, result attemptResult) forward.Action {
 	head := &result.answer.head
-	decision := f.plan.Ended(time.Now(), forward.Result{
+	decision := f.plan.AttemptEnded(time.Now(), forward.Result{
 		Outcome: outcomes[head.Outcome], Final: final(head.Reason), Suspect: head.Suspect,
-		Reached: head.Reason == protocol.ReasonUpstreamRefused,
-		Failed:  result.answer.failedByUpstream() && result.answer.stream == nil,
+		RefusedByUpstream: head.Reason == protocol.ReasonUpstreamRefused,
+		ErrorResponse:     result.answer.failedByUpstream() && result.answer.stream == nil,
 	}, f.source)
-	if decision.Action == forward.Answer {
-		return forward.Answer
+	if decision.Action == forward.Respond {
+		return forward.Respond
 	}
 	if head.Outcome == protocol.OutcomeDone {
 		f.failed = &result
@@ -159,11 +159,11 @@
 	}
 	result.answer.finish()
 	f.cancels[result.number]()
-	if decision.Action != forward.Send {
+	if decision.Action != forward.Retry {
 		return decision.Action
 	}
-	f.call.node.requestLog.repeated(f.call, result.answer, f.tried[result.number], decision.After)
-	sleep(ctx, decision.After)
+	f.call.node.requestLog.repeated(f.call, result.answer, f.tried[result.number], decision.Delay)
+	sleep(ctx, decision.Delay)
 	if ctx.Err() != nil {
 		return forward.Wait
 	}
@@ -214,7 +214,7 @@
 	if f.failed != nil {
 		return f.failed.answer
 	}
-	if f.plan.Verdict() == retry.NotRun {
+	if f.plan.Outcome() == retry.NotRun {
 		refused := refusal(f.last)
 		refused.head.Load = f.load
 		return refused
--- a/node/ingress.go
+++ b/node/ingress.go
@@ -259,7 +259,7 @@
 	}
 	plan := forward.New(forward.Config{
 		Class: c.route.Class, Budget: c.policy.budget, Deadline: c.deadline, UnderRetry: c.head.Retry,
-		Resendable: c.body.whole(), Alone: c.alone,
+		Resendable: c.body.whole(), Exclusive: c.alone,
 	})
 	run := &forwarding{call: c, plan: plan, results: make(chan attemptResult, maxAttemptsInFlight)}
 	run.source = rand.NewPCG(rand.Uint64(), rand.Uint64())
