--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -1,4 +1,5 @@
-// Package forward decides, for one call at its ingress, when another upstream is tried and what the caller is told.
+// Package forward decides, for one call at its ingress node, when another upstream is tried and what the caller is
+// told. It does no I/O.
 package forward
 
 import (
@@ -11,24 +12,26 @@
 
 // Config describes a call.
 type Config struct {
-	Class      bundle.Class
-	Budget     *retry.Budget
-	Deadline   time.Time
+	Class bundle.Class
+	// Budget is the retry budget of the call's route.
+	Budget   *retry.Budget
+	Deadline time.Time
+	// UnderRetry is set for calls that carry the Sapphire-Retry header: they belong to a retry and are not retried again.
 	UnderRetry bool
-	// Resendable is false if part of the request's body is gone after the first attempt.
+	// Resendable is set if the request's body is kept whole. Otherwise part of it is gone after the first attempt.
 	Resendable bool
 	// Exclusive is set for requests that are suspect of crashing upstreams.
 	Exclusive bool
 }
 
-// Result is the end of one attempt.
+// Result describes how one attempt ended.
 type Result struct {
 	Outcome retry.Outcome
-	// Final is set if no other upstream can do better, for example if the request itself is refused.
+	// Final is set if another upstream would not help, for example because the request itself is not allowed.
 	Final bool
-	// RefusedByUpstream is set if the upstream itself refused the request, rather than a process of ours before it.
+	// RefusedByUpstream is set if the upstream itself refused the request. It is not set if a node refused it.
 	RefusedByUpstream bool
-	// ErrorResponse is set on a complete answer that says that the upstream failed. Another upstream may do better.
+	// ErrorResponse is set on a complete response that reports a failure of the upstream. Another upstream may succeed.
 	ErrorResponse bool
 	// Suspect is set if the request was in flight when an upstream crashed.
 	Suspect bool
@@ -41,15 +44,15 @@
 const (
 	// Wait for an attempt that is still in flight.
 	Wait Action = iota
-	// Retry makes another attempt after Decision.After.
+	// Retry makes another attempt after Decision.Delay.
 	Retry
-	// Respond ends the call with the result that was just given.
+	// Respond ends the call with the response of the attempt that just ended.
 	Respond
-	// Fail ends the call without an answer; Verdict says what the caller is told.
+	// Fail ends the call without the response of this attempt. Call.Outcome is what the caller is told.
 	Fail
 )
 
-// Decision is the answer to the end of an attempt.
+// Decision says what follows the end of an attempt.
 type Decision struct {
 	Action Action
 	Delay  time.Duration
@@ -57,95 +60,99 @@
 
 // Call is the state of one call. It is not safe for concurrent use.
 type Call struct {
-	config  Config
-	sent    int
-	pending int
-	// uncertain is set once an attempt may have run.
-	uncertain bool
-	suspect   bool
-	stopped   bool
+	config Config
+	// attempts counts the attempts that were started, and pending those of them that have not ended.
+	attempts int
+	pending  int
+	// mayHaveRun is set once an attempt has ended that may have run.
+	mayHaveRun bool
+	// suspect is set if the request was in flight when an upstream crashed.
+	suspect bool
+	// final is set once an attempt has ended with Result.Final.
+	final bool
 }
 
-// New returns the state before the first attempt.
+// New returns the state of a call before its first attempt.
 func New(c Config) *Call { return &Call{config: c, suspect: c.Exclusive} }
 
 // AttemptStarted counts an attempt that starts.
 func (c *Call) AttemptStarted() {
-	c.sent++
+	c.attempts++
 	c.pending++
 }
 
-// MayHedge reports whether a second attempt may be made beside the first. Irreversible calls never have two attempts in
-// flight. The caller hedges only while no executor has shown that it has the call: under overload, an attempt that
-// waits in a queue would otherwise be doubled.
+// MayHedge reports whether a second attempt may run at the same time as the first. Irreversible calls never have two
+// attempts in flight. The ingress hedges only as long as no executor has reported that it received the call. Otherwise
+// attempts that wait in a queue would be doubled, which makes an overload worse.
 func (c *Call) MayHedge(now time.Time) bool {
-	return c.sent == 1 && c.config.Resendable && c.config.Budget.Retryable(c.attempt(now, retry.Unknown))
+	return c.attempts == 1 && c.config.Resendable && c.config.Budget.Retryable(c.attempt(now, retry.Unknown))
 }
 
-// Hedge reports whether a second attempt is made now. It takes from the retry budget.
+// Hedge reports whether a second attempt must be started now. If so, it is charged to the retry budget.
 func (c *Call) Hedge(now time.Time) bool {
-	return c.MayHedge(now) && c.pending == 1 && !c.stopped && c.config.Budget.Allow(now)
+	return c.MayHedge(now) && c.pending == 1 && !c.final && c.config.Budget.Allow(now)
 }
 
-// AttemptEnded takes the result of an attempt.
+// AttemptEnded records the result of an attempt and decides what follows. source randomises the delay of a retry.
 func (c *Call) AttemptEnded(now time.Time, r Result, source rand.Source) Decision {
 	c.pending--
 	c.suspect = c.suspect || r.Suspect
-	c.stopped = c.stopped || r.Final
+	c.final = c.final || r.Final
 	switch r.Outcome {
 	case retry.Done:
-		return c.answered(now, r, source)
+		return c.handleResponse(now, r, source)
 	case retry.Unknown:
-		c.uncertain = true
+		c.mayHaveRun = true
 	}
 	if c.pending > 0 {
 		return Decision{Action: Wait}
 	}
-	if c.stopped || !c.config.Resendable {
+	if c.final || !c.config.Resendable {
 		return Decision{Action: Fail}
 	}
-	if c.freeRetry(now, r) {
+	if c.isFreeRetry(now, r) {
 		return Decision{Action: Retry}
 	}
-	delay, again := c.config.Budget.Decide(now, c.attempt(now, r.Outcome), source)
-	if !again {
+	delay, allowed := c.config.Budget.Decide(now, c.attempt(now, r.Outcome), source)
+	if !allowed {
 		return Decision{Action: Fail}
 	}
 	return Decision{Action: Retry, Delay: delay}
 }
 
-// answered ends the call with a complete answer, unless that says that the upstream failed and the budget allows to try
-// another one. The answer stays good enough for the caller if that does not help.
-func (c *Call) answered(now time.Time, r Result, source rand.Source) Decision {
-	if !r.ErrorResponse || c.pending > 0 || c.stopped || !c.config.Resendable {
+// handleResponse ends the call with a complete response. A response that reports a failure of the upstream leads to a
+// retry if the budget allows one; the ingress keeps it and returns it to the caller if the retry gives no response.
+func (c *Call) handleResponse(now time.Time, r Result, source rand.Source) Decision {
+	if !r.ErrorResponse || c.pending > 0 || c.final || !c.config.Resendable {
 		return Decision{Action: Respond}
 	}
-	delay, again := c.config.Budget.Decide(now, c.attempt(now, retry.Unknown), source)
-	if !again {
+	delay, allowed := c.config.Budget.Decide(now, c.attempt(now, retry.Unknown), source)
+	if !allowed {
 		return Decision{Action: Respond}
 	}
 	return Decision{Action: Retry, Delay: delay}
 }
 
-// freeRetry reports whether a call may try another upstream at once and outside the budget. An attempt that reached no
-// upstream cost none any work, so the first one is not charged: with a full queue here and a free slot elsewhere, the
-// budget would refuse calls that there is capacity for. A refusal by the upstream is charged: upstreams that refuse a
-// part of their requests would otherwise draw a repeat for each.
-func (c *Call) freeRetry(now time.Time, r Result) bool {
-	return r.Outcome == retry.NotRun && !r.RefusedByUpstream && c.sent == 1 && c.config.Budget.Retryable(c.attempt(now, r.Outcome))
+// isFreeRetry reports whether a call may be retried at once and without a charge to the budget. This holds for the
+// first attempt if it reached no upstream, since it then cost no upstream any work: if the queue of one upstream is
+// full and another has a free slot, the budget could refuse a call for which there is capacity. A refusal by the
+// upstream itself is charged. Otherwise upstreams that refuse part of their requests would cause a retry of each
+// refused request.
+func (c *Call) isFreeRetry(now time.Time, r Result) bool {
+	return r.Outcome == retry.NotRun && !r.RefusedByUpstream && c.attempts == 1 && c.config.Budget.Retryable(c.attempt(now, r.Outcome))
 }
 
 func (c *Call) attempt(now time.Time, outcome retry.Outcome) retry.Attempt {
 	return retry.Attempt{
-		Class: c.config.Class, Outcome: outcome, Number: c.sent, UnderRetry: c.config.UnderRetry,
+		Class: c.config.Class, Outcome: outcome, Number: c.attempts, UnderRetry: c.config.UnderRetry,
 		Suspect: c.suspect, Remaining: c.config.Deadline.Sub(now),
 	}
 }
 
-// Outcome is what a caller without an answer is told. An earlier attempt that may have run, or one that is still in
-// flight, rules out "not run" whatever the last attempt ended with.
+// Outcome is what the caller is told if there is no response. It is NotRun only if no attempt is in flight and none of
+// the attempts that ended may have run, whatever the outcome of the last one.
 func (c *Call) Outcome() retry.Outcome {
-	if c.uncertain || c.pending > 0 {
+	if c.mayHaveRun || c.pending > 0 {
 		return retry.Unknown
 	}
 	return retry.NotRun
--- a/coordination/forward/forward_test.go
+++ b/coordination/forward/forward_test.go
@@ -32,8 +32,8 @@
 
 var _ = Describe("Call", func() {
 	// Guards against telling a caller "not run" because the last attempt was shed, although an earlier attempt of the
-	// same call was still running on an upstream when it was given up.
-	It("is uncertain after an attempt that may have run, whatever the next one ends with", func() {
+	// same call was still running on an upstream when the ingress stopped waiting for it.
+	It("has an unknown outcome after an attempt that may have run, whatever the outcome of the next one", func() {
 		call := newCall(bundle.ClassLookup)
 		call.AttemptStarted()
 		Expect(call.AttemptEnded(start, forward.Result{Outcome: retry.Unknown}, rand.NewPCG(1, 1)).Action).To(Equal(forward.Retry))
@@ -42,11 +42,11 @@
 		Expect(call.Outcome()).To(Equal(retry.Unknown))
 	})
 
-	// Guards against a repeat for each request when all upstreams of a service refuse half of what reaches them: the
-	// refused requests had arrived there, so their repeats count against the budget from the first one on.
-	It("charges the budget for the repeat of a request that an upstream itself refused", func() {
+	// Guards against a retry of every refused request when all upstreams of a service refuse half of their requests. The
+	// refused requests had reached an upstream, so that even their first retry is charged to the budget.
+	It("charges the budget for the retry of a request that an upstream itself refused", func() {
 		budget := retry.NewBudget(retry.Config{MaxAttempts: 2, Percent: 10, MinPerSecond: 1e-9, Burst: 1})
-		repeats := 0
+		retries := 0
 		for range 100 {
 			budget.Call(start)
 			call := forward.New(forward.Config{
@@ -55,15 +55,15 @@
 			call.AttemptStarted()
 			refused := forward.Result{Outcome: retry.NotRun, RefusedByUpstream: true}
 			if call.AttemptEnded(start, refused, rand.NewPCG(1, 1)).Action == forward.Retry {
-				repeats++
+				retries++
 			}
 		}
-		Expect(repeats).To(BeNumerically("<=", 11), "10% of the calls and the one saved retry")
+		Expect(retries).To(BeNumerically("<=", 11), "10% of the calls and the one saved retry")
 	})
 
-	// Guards against refusing calls for lack of budget while another upstream has a free slot, and against more than
-	// one such retry per call, which would multiply the attempts of an overload.
-	It("tries one other upstream outside the budget after a refusal, and no more", func() {
+	// Guards against refusing calls for lack of budget while another upstream has a free slot, and against more than one
+	// retry per call without a charge, which would multiply the attempts during an overload.
+	It("makes one retry without a charge to the budget after a refusal, and no more", func() {
 		call := forward.New(forward.Config{
 			Class: bundle.ClassLookup, Budget: retry.NewBudget(retry.Config{MaxAttempts: 4, MinPerSecond: 1e-9, Burst: 1}),
 			Deadline: start.Add(time.Second), Resendable: true,
@@ -84,8 +84,9 @@
 		Expect(call.Hedge(start)).To(BeFalse())
 	})
 
-	// Guards the three truths under any order of results and hedges.
-	It("says not run only if every attempt was proved not run", func() {
+	// Guards, under any order of results and hedges, against the outcome "not run" for a call that may have run, against
+	// a second attempt of an irreversible call that may have run, and against more attempts than are allowed.
+	It("has the outcome not run only if every attempt was certainly not run", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			class := rapid.SampledFrom([]bundle.Class{bundle.ClassLookup, bundle.ClassIrreversible}).Draw(t, "class")
 			call := newCall(class)
@@ -119,7 +120,7 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
 			}
 			if (call.Outcome() == retry.NotRun) == mayHaveRun {
-				t.Fatalf("verdict %v, may have run %v", call.Outcome(), mayHaveRun)
+				t.Fatalf("outcome %v, may have run %v", call.Outcome(), mayHaveRun)
 			}
 		})
 	})
