--- a/control/replica.go
+++ b/control/replica.go
@@ -151,7 +151,7 @@
 func (r *replica) pump(now time.Time) {
 	for !r.writing && !r.broken && r.raft.HasReady() {
 		ready := r.raft.Ready()
-		r.peers.send(ready.Early)
+		r.peers.send(ready.EarlyMessages)
 		if !ready.MustSync {
 			r.finish(now, ready)
 			continue
@@ -161,7 +161,7 @@
 	}
 	if r.writing && !r.broken {
 		// A slow write must not stop heartbeats.
-		r.peers.send(r.raft.TakeEarly())
+		r.peers.send(r.raft.TakeEarlyMessages())
 	}
 	r.dropStaleProposals()
 }
--- a/coordination/raft/cluster_test.go
+++ b/coordination/raft/cluster_test.go
@@ -204,7 +204,7 @@
 			if r.MustSync {
 				m.readyAt += time.Duration(c.rng.Int63n(int64(c.write) + 1))
 			}
-			c.send(r.Early)
+			c.send(r.EarlyMessages)
 			if r.MustSync && c.rng.Float64() < c.crashWrites {
 				c.crash(m)
 				c.restart(m)
@@ -212,7 +212,7 @@
 			}
 		}
 		if c.now < m.readyAt {
-			c.send(m.node.TakeEarly())
+			c.send(m.node.TakeEarlyMessages())
 			return
 		}
 		c.finish(m, *m.ready)
--- a/coordination/raft/exhaustive_test.go
+++ b/coordination/raft/exhaustive_test.go
@@ -172,14 +172,14 @@
 func (w *world) settle(i int) {
 	for w.writing[i] == nil && w.nodes[i].HasReady() {
 		r := w.nodes[i].Ready()
-		w.network = append(w.network, r.Early...)
+		w.network = append(w.network, r.EarlyMessages...)
 		if r.MustSync {
 			w.writing[i] = &r
 			break
 		}
 		w.persist(i, r)
 	}
-	w.network = append(w.network, w.nodes[i].TakeEarly()...)
+	w.network = append(w.network, w.nodes[i].TakeEarlyMessages()...)
 }
 
 func (w *world) persist(i int, r raft.Ready) {
--- a/coordination/raft/raft_test.go
+++ b/coordination/raft/raft_test.go
@@ -270,7 +270,7 @@
 		r := s.node.Ready()
 		Expect(r.MustSync).To(BeTrue())
 		Expect(r.HardState).To(Equal(raft.HardState{Term: 2, Vote: "b"}))
-		Expect(r.Early).To(BeEmpty())
+		Expect(r.EarlyMessages).To(BeEmpty())
 		Expect(types(r.Messages)).To(Equal([]raft.MessageType{raft.MessageVoteReply}))
 		s.node.Advance(r)
 		s.step("c", raft.Message{Type: raft.MessageVote, Term: 2, Index: 9, LogTerm: 1})
@@ -284,7 +284,7 @@
 		s.step("b", raft.Message{Type: raft.MessageAppend, Term: 1, Entries: []raft.Entry{entry}})
 		r := s.node.Ready()
 		Expect(r.Entries).To(Equal([]raft.Entry{entry}))
-		Expect(types(r.Early)).NotTo(ContainElement(raft.MessageAppendReply))
+		Expect(types(r.EarlyMessages)).NotTo(ContainElement(raft.MessageAppendReply))
 		Expect(types(r.Messages)).To(Equal([]raft.MessageType{raft.MessageAppendReply}))
 	})
 
@@ -293,7 +293,7 @@
 		s := newSingle(raft.HardState{})
 		term := s.lead()
 		r := s.node.Ready()
-		Expect(types(r.Early)).To(ContainElement(raft.MessageAppend))
+		Expect(types(r.EarlyMessages)).To(ContainElement(raft.MessageAppend))
 		Expect(s.node.Status().Progress["a"].Match).To(BeZero())
 		s.step("b", raft.Message{Type: raft.MessageAppendReply, Term: term, Index: 1})
 		Expect(s.node.Status().Commit).To(BeZero(), "one of two needed copies is durable")
@@ -304,7 +304,7 @@
 		Expect(s.node.Status().Commit).To(Equal(uint64(1)))
 		s.advance()
 		s.step("b", raft.Message{Type: raft.MessageAppendReply, Term: term, Index: 2})
-		Expect(types(s.advance().Early)).To(ContainElement(raft.MessageCommit), "announced at once")
+		Expect(types(s.advance().EarlyMessages)).To(ContainElement(raft.MessageCommit), "announced at once")
 	})
 
 	// Guards against a single voter that acts in a term which a crash makes it forget and use again.
@@ -317,7 +317,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		s.node.Tick(s.now.Add(2 * time.Second))
 		r := s.node.Ready()
-		Expect(r.Early).To(BeEmpty())
+		Expect(r.EarlyMessages).To(BeEmpty())
 		Expect(types(r.Messages)).To(ContainElement(raft.MessageAppend))
 	})
 
@@ -387,7 +387,7 @@
 			Expect(err).NotTo(HaveOccurred())
 		}
 		appends := 0
-		for _, m := range s.advance().Early {
+		for _, m := range s.advance().EarlyMessages {
 			if m.To == "b" && m.Type == raft.MessageAppend {
 				appends++
 			}
@@ -403,7 +403,7 @@
 	It("ignores answers to polls of an earlier run", func() {
 		s := newSingle(raft.HardState{Term: 1})
 		s.step("b", raft.Message{Type: raft.MessageHeartbeat, Term: 1, Round: 1})
-		poll := s.advance().Early[0].Poll
+		poll := s.advance().EarlyMessages[0].Poll
 		restarted := &single{now: s.now}
 		var err error
 		restarted.node, err = raft.New(s.now, raft.Config{ID: "a", Rand: rand.New(rand.NewSource(2))},
--- a/coordination/raft/ready.go
+++ b/coordination/raft/ready.go
@@ -25,19 +25,19 @@
 	}
 	n.replicatePending()
 	r := Ready{
-		HardState: HardState{Term: n.term, Vote: n.vote, Commit: n.commit},
-		MustSync:  n.mustSync(),
-		Entries:   n.log.unstable(),
-		Snapshot:  n.pendingSnapshot,
-		Early:     n.early,
-		Messages:  n.after,
+		HardState:     HardState{Term: n.term, Vote: n.vote, Commit: n.commit},
+		MustSync:      n.mustSync(),
+		Entries:       n.log.unstable(),
+		Snapshot:      n.pendingSnapshot,
+		EarlyMessages: n.early,
+		Messages:      n.after,
 	}
 	if n.pendingSnapshot == nil && n.applied < n.commit {
 		r.Committed = n.log.slice(n.applied+1, n.commit, n.config.MaxAppendBytes)
 	}
 	if n.hardStateChanged() {
 		// After a crash before the write, this member could act in the same term again with other entries.
-		r.Early, r.Messages = nil, append(r.Early, r.Messages...)
+		r.EarlyMessages, r.Messages = nil, append(r.EarlyMessages, r.Messages...)
 	}
 	n.early, n.after = nil, nil
 	n.readyPending = true
@@ -50,9 +50,9 @@
 	}
 }
 
-// TakeEarly returns messages that may be sent at once although a Ready is outstanding. A caller that writes in another
+// TakeEarlyMessages returns messages that may be sent at once although a Ready is outstanding. A caller that writes in another
 // goroutine uses it to keep heartbeats and new entries flowing during a slow write.
-func (n *Node) TakeEarly() []Message {
+func (n *Node) TakeEarlyMessages() []Message {
 	if n.hardStateChanged() {
 		return nil
 	}
--- a/coordination/raft/types.go
+++ b/coordination/raft/types.go
@@ -247,8 +247,8 @@
 	Snapshot *Snapshot
 	// Committed lists entries to apply, in order: one batch of about MaxAppendBytes. It is empty when Snapshot is set.
 	Committed []Entry
-	// Early may be sent before the write.
-	Early []Message
+	// EarlyMessages may be sent before the write.
+	EarlyMessages []Message
 	// Messages may be sent only after the write.
 	Messages []Message
 }
