--- a/coordination/raft/election.go
+++ b/coordination/raft/election.go
@@ -7,22 +7,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// setFirstDeadline draws a shorter timeout for a member that has just started: when all members return at the same moment,
-// there is no leader to wait for. If there is one, the pre-vote fails and changes nothing.
-func (n *Node) setFirstDeadline() {
+// setInitialElectionDeadline chooses a random timeout between 1/8 and 1/2 of the election timeout for a member that has
+// just started: when all members restart at the same time, there is no leader to wait for. If there is a leader, the
+// pre-vote fails and changes nothing.
+func (n *Node) setInitialElectionDeadline() {
 	shortest := n.config.ElectionTimeout / 8
 	n.electionDeadline = n.now.Add(shortest + time.Duration(n.rng.Int63n(int64(3*shortest)+1)))
 }
 
-// resetElectionDeadline draws a timeout between 1 and 1.5 election timeouts, so that members rarely start together.
+// resetElectionDeadline chooses a random timeout between 1 and 1.5 election timeouts, so that members rarely start an
+// election at the same time.
 func (n *Node) resetElectionDeadline() {
 	timeout := n.config.ElectionTimeout
 	n.electionDeadline = n.now.Add(timeout + time.Duration(n.rng.Int63n(int64(timeout)/2+1)))
 }
 
-// hearsLeader reports whether there is a leader, to this member's knowledge. A leader without a quorum steps down by
-// itself.
-func (n *Node) hearsLeader() bool {
+// hasLeaderContact reports whether this member is the leader or heard from one within the election timeout. A leader
+// need not check its quorum here, because it steps down when it loses the quorum.
+func (n *Node) hasLeaderContact() bool {
 	if n.role == RoleLeader {
 		return true
 	}
@@ -30,7 +32,7 @@
 }
 
 func (n *Node) becomeFollower(term uint64, leader MemberID) {
-	n.check(term >= n.term, "term moves back", map[string]any{"new": term})
+	n.check(term >= n.term, "term would decrease", map[string]any{"new": term})
 	if term > n.term {
 		n.term, n.vote = term, ""
 	}
@@ -40,8 +42,8 @@
 		n.quorumLost = false
 	}
 	n.votes = nil
-	n.leading = leading{}
-	n.freshness.forgetRounds()
+	n.leaderState = leaderState{}
+	n.freshness.resetPolls()
 	n.resetElectionDeadline()
 }
 
@@ -50,8 +52,8 @@
 	return n.membership().IsVoter(n.config.ID) && n.pendingSnapshot == nil
 }
 
-// startPreVote asks whether an election could succeed. It changes no term, so a member that was cut off does not
-// disrupt the group when it returns.
+// startPreVote asks the voters whether an election could succeed. It changes no term, so a member that was partitioned
+// does not disrupt the group when it reconnects.
 func (n *Node) startPreVote() {
 	n.resetElectionDeadline()
 	if !n.isElectable() {
@@ -79,19 +81,20 @@
 	n.broadcast(isVoter, Message{Type: MessageVote, Index: n.log.last(), LogTerm: n.log.lastTerm(), Force: force})
 }
 
-// hasVotes reports whether a quorum answered with granted.
+// hasVotes reports whether a quorum granted its votes or, if granted is false, whether a quorum rejected them.
 func (n *Node) hasVotes(granted bool) bool {
 	voters := n.membership().Voters()
 	count := 0
 	for _, id := range voters {
-		if answer, ok := n.votes[id]; ok && answer == granted {
+		if vote, ok := n.votes[id]; ok && vote == granted {
 			count++
 		}
 	}
 	return count > len(voters)/2
 }
 
-// isUpToDate reports whether the candidate's log holds every entry that this member may have helped to commit.
+// isUpToDate reports whether the candidate's log is at least as recent as this member's, by term and index of the last
+// entry. It then holds every entry that this member may have helped to commit.
 func (n *Node) isUpToDate(m Message) bool {
 	if m.LogTerm != n.log.lastTerm() {
 		return m.LogTerm > n.log.lastTerm()
@@ -100,7 +103,7 @@
 }
 
 func (n *Node) handlePreVote(m Message) {
-	granted := m.Term > n.term && !n.hearsLeader() && n.isUpToDate(m)
+	granted := m.Term > n.term && !n.hasLeaderContact() && n.isUpToDate(m)
 	reply := Message{To: m.From, Type: MessagePreVoteReply, Reject: !granted}
 	if granted {
 		reply.Term = m.Term
@@ -121,8 +124,8 @@
 }
 
 func (n *Node) handleVote(m Message) {
-	free := n.vote == m.From || n.vote == "" && n.leader == ""
-	granted := free && n.isUpToDate(m)
+	canVote := n.vote == m.From || n.vote == "" && n.leader == ""
+	granted := canVote && n.isUpToDate(m)
 	if granted {
 		n.vote = m.From
 		n.resetElectionDeadline()
@@ -143,24 +146,25 @@
 }
 
 func (n *Node) becomeLeader() {
-	n.check(n.role == RoleCandidate, "leader without an election", map[string]any{"role": n.role.String()})
+	n.check(n.role == RoleCandidate, "became leader without being a candidate", map[string]any{"role": n.role.String()})
 	n.role, n.leader = RoleLeader, n.config.ID
 	n.votes = nil
 	n.quorumLost = false
-	n.freshness.polls = nil
-	n.leading = leading{
-		progress: make(map[MemberID]*progress), heldPolls: make(map[MemberID]uint64), termStart: n.log.last() + 1,
+	n.freshness.openPolls = nil
+	n.leaderState = leaderState{
+		progress: make(map[MemberID]*progress), deferredPolls: make(map[MemberID]uint64), termStart: n.log.last() + 1,
 	}
 	for _, entry := range n.log.entries[n.commit-n.log.offset:] {
-		n.leading.uncommittedBytes += entry.size()
+		n.leaderState.uncommittedBytes += entry.size()
 	}
-	n.updateProgress()
+	n.updateTrackedMembers()
 	n.appendEntry(n.firstEntry())
 	n.startRound()
 }
 
-// firstEntry returns the entry that lets a new leader commit. The first leader of a group records the initial
-// membership, so that members that join later find it in the log.
+// firstEntry returns the first entry of a leader's term: earlier entries are committed only together with one of the
+// leader's own term. The first leader of a group records the initial membership, so that members that join later find
+// it in the log.
 func (n *Node) firstEntry() Entry {
 	if n.memberships[len(n.memberships)-1].index > 0 {
 		return Entry{Kind: EntryNoop}
@@ -168,11 +172,11 @@
 	return Entry{Kind: EntryMembership, Data: encodeMembership(n.membership())}
 }
 
-// hasQuorumContact reports whether a quorum was heard from within the election timeout.
+// hasQuorumContact reports whether a quorum, including this leader, sent messages within the election timeout.
 func (n *Node) hasQuorumContact() bool {
 	recent := n.quorumValue(func(id MemberID) uint64 {
-		p := n.leading.progress[id]
-		if id == n.config.ID || n.now.Sub(p.contact) < n.config.ElectionTimeout {
+		p := n.leaderState.progress[id]
+		if id == n.config.ID || n.now.Sub(p.lastContact) < n.config.ElectionTimeout {
 			return 1
 		}
 		return 0
@@ -180,8 +184,8 @@
 	return recent == 1
 }
 
-// TransferLeadership hands the leadership to another voter. Proposals are refused until the target has taken over or
-// the election timeout has passed.
+// TransferLeadership hands the leadership to another voter. Proposals are refused until the target is the leader or
+// the election timeout has passed. The error is ErrNotLeader or ErrUnknownMember.
 func (n *Node) TransferLeadership(now time.Time, to MemberID) error {
 	n.setNow(now)
 	if n.role != RoleLeader {
@@ -193,16 +197,16 @@
 	if !n.membership().IsVoter(to) {
 		return errors.Wrapf(ErrUnknownMember, "%q is not a voter", to)
 	}
-	n.leading.transferee = to
-	n.leading.transferDeadline = n.now.Add(n.config.ElectionTimeout)
-	n.leading.replicate = true
+	n.leaderState.transferee = to
+	n.leaderState.transferDeadline = n.now.Add(n.config.ElectionTimeout)
+	n.leaderState.replicationPending = true
 	n.continueTransfer(to)
 	return nil
 }
 
-// continueTransfer asks the target to take over once it holds the whole log.
+// continueTransfer asks the target of a leadership transfer to start an election once it holds the whole log.
 func (n *Node) continueTransfer(id MemberID) {
-	if id == n.leading.transferee && n.leading.progress[id].match == n.log.last() {
+	if id == n.leaderState.transferee && n.leaderState.progress[id].match == n.log.last() {
 		n.send(Message{To: id, Type: MessageTimeoutNow})
 	}
 }
@@ -213,12 +217,13 @@
 	}
 }
 
-// resign steps down after the removal of this member, and lets the member with the longest log take over at once.
-func (n *Node) resign() {
+// stepDownAfterRemoval gives up the leadership after the removal of this member was committed. It asks the voter with
+// the longest confirmed log to start an election at once.
+func (n *Node) stepDownAfterRemoval() {
 	n.replicateAll()
 	voters := n.membership().Voters()
 	successor := slices.MaxFunc(voters, func(a, b MemberID) int {
-		return int(n.leading.progress[a].match) - int(n.leading.progress[b].match)
+		return int(n.leaderState.progress[a].match) - int(n.leaderState.progress[b].match)
 	})
 	n.send(Message{To: successor, Type: MessageTimeoutNow})
 	n.becomeFollower(n.term, "")
--- a/coordination/raft/freshness.go
+++ b/coordination/raft/freshness.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	// clockDriftPercent is the allowance for clocks that differ in rate.
+	// clockDriftPercent is added to ages, because the clocks of two members may differ in rate.
 	clockDriftPercent = 1
-	// maxConfirmations and maxPolls bound what is remembered while the state or the leader lags.
+	// maxConfirmations and maxPolls limit what is stored while entries are not applied or the leader does not reply.
 	maxConfirmations = 32
 	maxPolls         = 8
 )
 
-// freshness tracks how old the applied state may be. All instants are on the local monotonic clock.
+// freshness tracks how old the applied state may be. All times are on this member's own clock.
 type freshness struct {
-	// The applied state holds everything that was committed before base.
+	// The applied state holds everything that was committed before asOf, if known is set.
 	known bool
-	base  time.Time
-	index uint64 // the log up to here holds everything that was committed before base
-	// waiting holds confirmations of entries that are not applied yet, in order.
-	waiting []confirmation
-	// poll is the number of the last poll, and polls lists the unanswered ones.
-	poll     uint64
-	polls    []sentPoll
-	nextPoll time.Time
+	asOf  time.Time
+	index uint64 // the log up to and including this index holds everything that was committed before asOf
+	// pending holds confirmations of entries that are not applied yet, in order.
+	pending []confirmation
+	// lastPoll is the number of the last poll that was sent, and openPolls lists the polls without a reply.
+	lastPoll  uint64
+	openPolls []sentPoll
+	nextPoll  time.Time
 }
 
-// confirmation says that the log up to index holds everything that was committed before base.
+// confirmation says that the log up to index holds everything that was committed before asOf.
 type confirmation struct {
 	index uint64
-	base  time.Time
+	asOf  time.Time
 }
 
 type sentPoll struct {
@@ -35,74 +35,75 @@
 	sent   time.Time
 }
 
-// forgetRounds drops what depends on the present leader. What was confirmed stays true.
-func (f *freshness) forgetRounds() { f.polls, f.nextPoll = nil, time.Time{} }
+// resetPolls discards the polls sent to the present leader. Confirmations stay valid under another leader.
+func (f *freshness) resetPolls() { f.openPolls, f.nextPoll = nil, time.Time{} }
 
-// add notes a confirmation. If too many wait, the newest replaces the one before.
-func (f *freshness) add(c confirmation, applied uint64) {
-	if len(f.waiting) == maxConfirmations {
-		f.waiting = f.waiting[:maxConfirmations-1]
+// addConfirmation adds a confirmation. If maxConfirmations are pending, it replaces the newest of them.
+func (f *freshness) addConfirmation(c confirmation, applied uint64) {
+	if len(f.pending) == maxConfirmations {
+		f.pending = f.pending[:maxConfirmations-1]
 	}
-	f.waiting = append(f.waiting, c)
-	f.advance(applied)
+	f.pending = append(f.pending, c)
+	f.applyConfirmations(applied)
 }
 
-// advance takes the confirmations whose entries are applied.
-func (f *freshness) advance(applied uint64) {
-	kept := f.waiting[:0]
-	for _, c := range f.waiting {
+// applyConfirmations raises asOf by the confirmations whose entries are applied, and removes them.
+func (f *freshness) applyConfirmations(applied uint64) {
+	remaining := f.pending[:0]
+	for _, c := range f.pending {
 		switch {
 		case c.index > applied:
-			kept = append(kept, c)
-		case !f.known || c.base.After(f.base):
-			f.known, f.base, f.index = true, c.base, c.index
+			remaining = append(remaining, c)
+		case !f.known || c.asOf.After(f.asOf):
+			f.known, f.asOf, f.index = true, c.asOf, c.index
 		}
 	}
-	f.waiting = kept
+	f.pending = remaining
 }
 
-// noteRound takes the last round that a quorum answered. A round that started before the leader committed an entry of
-// its own term confirms nothing, since the leader may not know yet what is committed.
-func (n *Node) noteRound() {
-	quorum := n.quorumValue(func(id MemberID) uint64 { return n.leading.progress[id].answered })
-	rounds := n.leading.rounds
+// confirmRounds removes the heartbeat rounds to which a quorum has replied, and confirms the leader's state as of their
+// start. A round that started before the leader committed an entry of its own term confirms nothing: until then the
+// leader may not know which entries are committed.
+func (n *Node) confirmRounds() {
+	quorum := n.quorumValue(func(id MemberID) uint64 { return n.leaderState.progress[id].repliedRound })
+	rounds := n.leaderState.rounds
 	for len(rounds) > 0 && rounds[0].number <= quorum {
-		if rounds[0].commit >= n.leading.termStart {
-			n.freshness.add(confirmation{index: rounds[0].commit, base: rounds[0].start}, n.applied)
-			n.leading.confirmed = true
+		if rounds[0].commit >= n.leaderState.termStart {
+			n.freshness.addConfirmation(confirmation{index: rounds[0].commit, asOf: rounds[0].start}, n.applied)
+			n.leaderState.stateConfirmed = true
 		}
 		rounds = rounds[1:]
 	}
-	n.leading.rounds = rounds
-	n.answerHeldPolls()
+	n.leaderState.rounds = rounds
+	n.replyToDeferredPolls()
 }
 
-// answerHeldPolls answers the polls that arrived before a quorum had confirmed anything in this term.
-func (n *Node) answerHeldPolls() {
-	if !n.leading.confirmed {
+// replyToDeferredPolls replies to the polls that arrived before a quorum had confirmed the state in this term.
+func (n *Node) replyToDeferredPolls() {
+	if !n.leaderState.stateConfirmed {
 		return
 	}
 	for _, member := range n.membership().Members {
-		if poll, held := n.leading.heldPolls[member.ID]; held {
-			delete(n.leading.heldPolls, member.ID)
-			n.answerPoll(Message{From: member.ID, Poll: poll})
+		if poll, deferred := n.leaderState.deferredPolls[member.ID]; deferred {
+			delete(n.leaderState.deferredPolls, member.ID)
+			n.replyToPoll(Message{From: member.ID, Poll: poll})
 		}
 	}
 }
 
-// startPoll returns the number of a poll that is sent now.
+// startPoll records a poll that is sent now and returns its number.
 func (n *Node) startPoll() uint64 {
 	f := &n.freshness
-	f.poll++
-	f.polls = append(f.polls, sentPoll{number: f.poll, sent: n.now})
-	if len(f.polls) > maxPolls {
-		f.polls = f.polls[1:]
+	f.lastPoll++
+	f.openPolls = append(f.openPolls, sentPoll{number: f.lastPoll, sent: n.now})
+	if len(f.openPolls) > maxPolls {
+		f.openPolls = f.openPolls[1:]
 	}
 	f.nextPoll = n.now.Add(n.config.PollInterval)
-	return f.poll
+	return f.lastPoll
 }
 
-// tickPoll polls the leader if no heartbeat has given the occasion.
+// tickPoll sends a poll of its own if no heartbeat arrived whose reply could have carried the poll.
 func (n *Node) tickPoll() {
 	overdue := n.freshness.nextPoll.Add(n.config.HeartbeatInterval)
 	if n.leader != "" && n.now.After(overdue) {
@@ -110,36 +111,38 @@
 	}
 }
 
-// answerPoll answers with the age of the leader's state.
-func (n *Node) answerPoll(m Message) {
-	if n.role != RoleLeader || n.leading.progress[m.From] == nil {
+// replyToPoll replies with the age of the leader's state.
+func (n *Node) replyToPoll(m Message) {
+	if n.role != RoleLeader || n.leaderState.progress[m.From] == nil {
 		return
 	}
 	age, known := n.ConfirmedAge(n.now)
-	if !known || !n.leading.confirmed {
-		// What the former leader told would be an old answer, and the follower would wait for its next poll.
-		n.leading.heldPolls[m.From] = m.Poll
+	if !known || !n.leaderState.stateConfirmed {
+		// The state known so far was confirmed under the former leader and may be old. The follower could ask again only
+		// with its next poll, so the reply is sent as soon as the state is confirmed in this term.
+		n.leaderState.deferredPolls[m.From] = m.Poll
 		return
 	}
 	n.send(Message{To: m.From, Type: MessagePollReply, Poll: m.Poll, Index: n.freshness.index, Age: age})
 }
 
 func (n *Node) handlePollReply(m Message) {
-	for i, poll := range n.freshness.polls {
+	for i, poll := range n.freshness.openPolls {
 		if poll.number == m.Poll {
-			n.freshness.polls = n.freshness.polls[i+1:]
-			n.freshness.add(confirmation{index: m.Index, base: poll.sent.Add(-m.Age)}, n.applied)
+			n.freshness.openPolls = n.freshness.openPolls[i+1:]
+			n.freshness.addConfirmation(confirmation{index: m.Index, asOf: poll.sent.Add(-m.Age)}, n.applied)
 			return
 		}
 	}
 }
 
 // ConfirmedAge returns an upper bound on the time since a quorum confirmed the applied state as current. It returns
-// false if that never happened since the start of this member. The age of a member that is cut off grows.
+// false if there was no confirmation since the start of this member. The age grows while a member is partitioned from
+// the group.
 func (n *Node) ConfirmedAge(now time.Time) (time.Duration, bool) {
 	if !n.freshness.known {
 		return 0, false
 	}
-	age := max(now.Sub(n.freshness.base), 0)
+	age := max(now.Sub(n.freshness.asOf), 0)
 	return age + age*clockDriftPercent/100, true
 }
--- a/coordination/raft/log.go
+++ b/coordination/raft/log.go
@@ -2,12 +2,13 @@
 
 import "slices"
 
-// memoryLog holds the entries after offset. Slices that it hands out are never modified afterwards.
+// memoryLog holds the entries after offset; a snapshot covers the earlier ones. Slices that it returns are never
+// modified afterwards.
 type memoryLog struct {
 	offset     uint64
 	offsetTerm uint64
 	entries    []Entry
-	// stable is the last index that is known to be durable.
+	// stable is the index of the last entry that is known to be durable.
 	stable uint64
 }
 
@@ -32,11 +33,12 @@
 }
 
 func (l *memoryLog) matches(index, term uint64) bool {
-	held, ok := l.term(index)
-	return ok && held == term
+	existing, ok := l.term(index)
+	return ok && existing == term
 }
 
-// slice returns the entries from index first up to last, limited to maxBytes but at least one.
+// slice returns the entries from index first up to last, limited to maxBytes. It returns at least one entry unless
+// first is greater than last.
 func (l *memoryLog) slice(first, last uint64, maxBytes int) []Entry {
 	if first > last {
 		return nil
@@ -63,14 +65,15 @@
 	l.stable = min(l.stable, index)
 }
 
-// stableTo notes that the log was durable up to an entry. The entry may have been replaced since.
-func (l *memoryLog) stableTo(index, term uint64) {
+// markStable records that a write made the log durable up to an entry. It has no effect if the entry was replaced
+// during the write.
+func (l *memoryLog) markStable(index, term uint64) {
 	if index > l.stable && l.matches(index, term) {
 		l.stable = index
 	}
 }
 
-// compact drops the entries up to an index that the log holds.
+// compact removes the entries up to and including an index that the log holds.
 func (l *memoryLog) compact(index uint64) {
 	if index <= l.offset {
 		return
@@ -80,19 +83,20 @@
 	l.offset, l.offsetTerm = index, term
 }
 
-// reset continues an empty log after a snapshot.
+// reset replaces the log by an empty one that continues after a snapshot.
 func (l *memoryLog) reset(s Snapshot) {
 	*l = memoryLog{offset: s.Index, offsetTerm: s.Term, stable: s.Index}
 }
 
-// conflictHint returns the last index, at most index, whose term is at most term. A leader and a follower whose logs
-// differ find their common prefix with one message per differing term.
+// conflictHint returns the last index, at most index, whose entry has at most the given term, and the term of that
+// entry. With it, a leader and a follower whose logs differ find their common prefix with one message per differing
+// term.
 func (l *memoryLog) conflictHint(index, term uint64) (uint64, uint64) {
 	index = min(index, l.last())
 	for {
-		held, ok := l.term(index)
-		if !ok || held <= term {
-			return index, held
+		existing, ok := l.term(index)
+		if !ok || existing <= term {
+			return index, existing
 		}
 		index--
 	}
--- a/coordination/raft/membership.go
+++ b/coordination/raft/membership.go
@@ -15,7 +15,7 @@
 	membership Membership
 }
 
-var canonical = mustEncMode(cbor.CoreDetEncOptions())
+var membershipEncoding = mustEncMode(cbor.CoreDetEncOptions())
 
 func mustEncMode(options cbor.EncOptions) cbor.EncMode {
 	mode, err := options.EncMode()
@@ -27,7 +27,7 @@
 
 // encodeMembership cannot fail, since a Membership holds only strings and booleans.
 func encodeMembership(m Membership) []byte {
-	data, err := canonical.Marshal(m)
+	data, err := membershipEncoding.Marshal(m)
 	if err != nil {
 		panic(err)
 	}
@@ -47,15 +47,15 @@
 // membershipPending reports whether the membership in effect is not committed.
 func (n *Node) membershipPending() bool { return n.memberships[len(n.memberships)-1].index > n.commit }
 
-// membershipAt returns the membership in effect at an index that is not compacted.
+// membershipAt returns the membership that is in effect at an index, which must not be older than the last snapshot.
 func (n *Node) membershipAt(index uint64) Membership {
-	at := Membership{}
+	result := Membership{}
 	for _, r := range n.memberships {
 		if r.index <= index {
-			at = r.membership
+			result = r.membership
 		}
 	}
-	return at
+	return result
 }
 
 func (n *Node) restoreMemberships(r Restored) error {
@@ -76,13 +76,13 @@
 	return nil
 }
 
-// addMembership puts the membership of an entry into effect. The entry was decoded before without an error.
+// addMembership puts the membership of an entry into effect. The entry was validated when it was received or restored.
 func (n *Node) addMembership(entry Entry) {
 	m, err := DecodeMembership(entry.Data)
-	n.check(err == nil, "membership entry is unreadable", map[string]any{"index": entry.Index})
+	n.check(err == nil, "membership entry cannot be decoded", map[string]any{"index": entry.Index})
 	n.memberships = append(n.memberships, membershipRecord{index: entry.Index, membership: m})
 	if n.role == RoleLeader {
-		n.updateProgress()
+		n.updateTrackedMembers()
 	}
 }
 
@@ -93,42 +93,43 @@
 	}
 }
 
-// compactMemberships drops the memberships that were replaced at an index.
+// compactMemberships removes the memberships that are no longer in effect at an index.
 func (n *Node) compactMemberships(index uint64) {
 	for len(n.memberships) > 1 && n.memberships[1].index <= index {
 		n.memberships = n.memberships[1:]
 	}
 }
 
-// updateProgress starts to track added members and forgets removed ones. A leader that was removed keeps tracking
-// itself until it steps down.
-func (n *Node) updateProgress() {
+// updateTrackedMembers creates the progress of added members and deletes that of removed ones. A leader that was
+// removed keeps its own progress until it steps down.
+func (n *Node) updateTrackedMembers() {
 	tracked := map[MemberID]*progress{}
 	for _, member := range append(slices.Clone(n.membership().Members), Member{ID: n.config.ID}) {
-		p := n.leading.progress[member.ID]
+		p := n.leaderState.progress[member.ID]
 		if p == nil {
-			p = &progress{next: n.log.last() + 1, contact: n.now}
+			p = &progress{next: n.log.last() + 1, lastContact: n.now}
 		}
 		tracked[member.ID] = p
 	}
 	tracked[n.config.ID].match = n.log.stable
-	n.leading.progress = tracked
+	n.leaderState.progress = tracked
 }
 
 // ProposeMembership appends a single-step membership change on the leader. The change is in effect at once, and the
-// next one is refused until this one is committed.
+// next one is refused until this one is committed. The error is ErrNotLeader, ErrTransferring, ErrMembershipPending,
+// ErrInvalidChange, ErrUnknownMember or ErrNotCaughtUp.
 func (n *Node) ProposeMembership(now time.Time, change MembershipChange) (index, term uint64, err error) {
 	n.setNow(now)
 	if n.role != RoleLeader {
 		return 0, 0, ErrNotLeader
 	}
-	if n.leading.transferee != "" {
+	if n.leaderState.transferee != "" {
 		return 0, 0, ErrTransferring
 	}
-	if n.membershipPending() || n.commit < n.leading.termStart {
+	if n.membershipPending() || n.commit < n.leaderState.termStart {
 		return 0, 0, ErrMembershipPending
 	}
-	next, err := n.changed(change)
+	next, err := n.membershipAfter(change)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -136,14 +137,14 @@
 	return n.log.last(), n.term, nil
 }
 
-// changed returns the membership after a change.
-func (n *Node) changed(change MembershipChange) (Membership, error) {
+// membershipAfter returns the membership that a change leads to, or why the change cannot be made.
+func (n *Node) membershipAfter(change MembershipChange) (Membership, error) {
 	current := n.membership()
 	id := change.Member.ID
 	member, exists := current.Find(id)
 	if change.Kind == ChangeAddLearner {
 		if exists || id == "" {
-			return Membership{}, errors.Wrapf(ErrInvalidChange, "cannot add %q", id)
+			return Membership{}, errors.Wrapf(ErrInvalidChange, "cannot add %q: the ID is empty or already a member", id)
 		}
 		added := change.Member
 		added.Learner = true
@@ -155,7 +156,7 @@
 	switch change.Kind {
 	case ChangePromote:
 		if !member.Learner {
-			return Membership{}, errors.Wrapf(ErrInvalidChange, "%q is a voter", id)
+			return Membership{}, errors.Wrapf(ErrInvalidChange, "cannot promote %q: it is already a voter", id)
 		}
 		if !n.isCaughtUp(id) {
 			return Membership{}, errors.Wrapf(ErrNotCaughtUp, "%q", id)
@@ -164,21 +165,22 @@
 		return current.with(member), nil
 	case ChangeRemove:
 		if voters := current.Voters(); len(voters) == 1 && voters[0] == id {
-			return Membership{}, errors.Wrapf(ErrInvalidChange, "%q is the last voter", id)
+			return Membership{}, errors.Wrapf(ErrInvalidChange, "cannot remove %q: it is the last voter", id)
 		}
 		return current.without(id), nil
 	case ChangeUpdate:
 		member.Address, member.Zone = change.Member.Address, change.Member.Zone
 		return current.with(member), nil
 	default:
-		return Membership{}, errors.Wrapf(ErrInvalidChange, "kind %d", change.Kind)
+		return Membership{}, errors.Wrapf(ErrInvalidChange, "unknown kind of change %d", change.Kind)
 	}
 }
 
-// isCaughtUp reports whether a learner has synced all committed entries and is in contact.
+// isCaughtUp reports whether a learner has confirmed all committed entries as durable and sent a message within the
+// election timeout.
 func (n *Node) isCaughtUp(id MemberID) bool {
-	p := n.leading.progress[id]
-	return p.heard && p.match >= n.commit && n.now.Sub(p.contact) < n.config.ElectionTimeout
+	p := n.leaderState.progress[id]
+	return p.contacted && p.match >= n.commit && n.now.Sub(p.lastContact) < n.config.ElectionTimeout
 }
 
 func (m Membership) sorted() Membership {
--- a/coordination/raft/node.go
+++ b/coordination/raft/node.go
@@ -28,7 +28,8 @@
 
 	term, commit, applied uint64
 	vote                  MemberID
-	// persistedTerm and persistedVote are durable. Messages that depend on a newer term or vote wait for the write.
+	// persistedTerm and persistedVote are the durable term and vote. Messages that depend on newer ones wait for the
+	// write.
 	persistedTerm uint64
 	persistedVote MemberID
 
@@ -44,29 +45,29 @@
 	votes            map[MemberID]bool
 	quorumLost       bool
 
-	leading   leading
-	freshness freshness
+	leaderState leaderState
+	freshness   freshness
 
-	early, after []Message
-	readyPending bool
+	earlyMessages, messages []Message
+	readyPending            bool
 }
 
-// leading is the state of a leader.
-type leading struct {
+// leaderState is the state of a leader.
+type leaderState struct {
 	progress         map[MemberID]*progress
 	termStart        uint64 // index of the first entry of this term
 	uncommittedBytes int
 	nextHeartbeat    time.Time
 	round            uint64
 	rounds           []round
-	// confirmed is set once a quorum has confirmed the state in this term. heldPolls are the last polls of the members
-	// until then.
-	confirmed        bool
-	heldPolls        map[MemberID]uint64
+	// stateConfirmed is set once a quorum has confirmed the state as current in this term. deferredPolls holds the number
+	// of each member's last poll until then.
+	stateConfirmed   bool
+	deferredPolls    map[MemberID]uint64
 	transferee       MemberID
 	transferDeadline time.Time
-	// replicate is set while members may have to be sent entries or a commit index.
-	replicate bool
+	// replicationPending is set if entries or a commit index may have to be sent to members.
+	replicationPending bool
 }
 
 // withDefaults replaces unset values.
@@ -81,16 +82,16 @@
 	return c
 }
 
-func setDefault[T comparable](value *T, standard T) {
+func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
-		*value = standard
+		*value = defaultValue
 	}
 }
 
 func (c Config) validate() error {
 	if c.ID == "" || c.Rand == nil {
-		return errors.New("raft: the configuration needs ID and Rand")
+		return errors.New("raft: ID and Rand must be set")
 	}
 	if c.HeartbeatInterval < 0 || c.ElectionTimeout <= 2*c.HeartbeatInterval {
 		return errors.Newf("raft: election timeout %v must exceed two heartbeat intervals of %v",
@@ -99,8 +100,8 @@
 	return nil
 }
 
-// New starts a member from its durable state. The application must have restored Restored.Snapshot; entries after it
-// are handed out again by Ready as they become committed.
+// New starts a member from its durable state. The application must have restored Restored.Snapshot; Ready returns the
+// entries after it once they are known to be committed. The error is ErrInvalidState, or says which setting is wrong.
 func New(now time.Time, c Config, r Restored) (*Node, error) {
 	c = c.withDefaults()
 	if err := c.validate(); err != nil {
@@ -116,8 +117,8 @@
 		applied:  r.Snapshot.Index,
 		snapshot: r.Snapshot,
 	}
-	// A crash may have hit between the writes of a snapshot and of the term in which it arrived. The member has not
-	// voted in that term, since a vote is written with its term.
+	// The member may have crashed after it wrote a snapshot and before it wrote the term in which the snapshot arrived.
+	// It has not voted in that term, since a vote is written together with its term.
 	if r.Snapshot.Term > n.term {
 		n.term, n.vote = r.Snapshot.Term, ""
 	}
@@ -128,9 +129,9 @@
 	if err := n.restoreMemberships(r); err != nil {
 		return nil, err
 	}
-	// A random start keeps replies to polls of an earlier run of this member from matching a poll of this one.
-	n.freshness.poll = n.rng.Uint64() >> 1
-	n.setFirstDeadline()
+	// Poll numbers start at random, so that a late reply to a poll sent before a restart matches no poll sent after it.
+	n.freshness.lastPoll = n.rng.Uint64() >> 1
+	n.setInitialElectionDeadline()
 	return n, nil
 }
 
@@ -147,19 +148,19 @@
 		return errors.Wrapf(ErrInvalidState, "commit index %d is after the last entry %d", r.HardState.Commit, previous.Index)
 	}
 	if len(r.Entries) > 0 && previous.Term > r.HardState.Term && previous.Term > r.Snapshot.Term {
-		return errors.Wrapf(ErrInvalidState, "entry of term %d in term %d", previous.Term, r.HardState.Term)
+		return errors.Wrapf(ErrInvalidState, "entry of term %d is newer than the term %d of the hard state", previous.Term, r.HardState.Term)
 	}
 	return nil
 }
 
-// setNow advances time. A clock that steps back is ignored.
+// setNow advances the member's time. An earlier time has no effect.
 func (n *Node) setNow(now time.Time) {
 	if now.After(n.now) {
 		n.now = now
 	}
 }
 
-// Tick advances time. It is called about every 20 ms.
+// Tick advances the member's time and runs its timers. It must be called about every 20 ms.
 func (n *Node) Tick(now time.Time) {
 	n.setNow(now)
 	if n.role == RoleLeader {
@@ -179,15 +180,15 @@
 		n.quorumLost = true
 		return
 	}
-	if n.leading.transferee != "" && !n.now.Before(n.leading.transferDeadline) {
-		n.leading.transferee = ""
+	if n.leaderState.transferee != "" && !n.now.Before(n.leaderState.transferDeadline) {
+		n.leaderState.transferee = ""
 	}
-	if !n.now.Before(n.leading.nextHeartbeat) {
+	if !n.now.Before(n.leaderState.nextHeartbeat) {
 		n.startRound()
 	}
 }
 
-// Step processes a message from another member.
+// Step processes a message from another member. The error is ErrInvalidMessage.
 func (n *Node) Step(now time.Time, m Message) error {
 	n.setNow(now)
 	if err := n.validateMessage(m); err != nil {
@@ -205,10 +206,10 @@
 
 func (n *Node) validateMessage(m Message) error {
 	if m.To != n.config.ID || m.From == "" || m.From == n.config.ID {
-		return errors.Wrapf(ErrInvalidMessage, "from %q to %q at %q", m.From, m.To, n.config.ID)
+		return errors.Wrapf(ErrInvalidMessage, "message from %q to %q received by %q", m.From, m.To, n.config.ID)
 	}
 	if m.Type == MessageSnapshot && m.Snapshot == nil {
-		return errors.Wrap(ErrInvalidMessage, "no snapshot")
+		return errors.Wrap(ErrInvalidMessage, "snapshot message without a snapshot")
 	}
 	previous := Entry{Index: m.Index, Term: m.LogTerm}
 	for _, entry := range m.Entries {
@@ -226,7 +227,8 @@
 	return nil
 }
 
-// stepNewerTerm adopts the term of a message. It returns false if the message is done with.
+// stepNewerTerm adopts the newer term of a message, unless the message does not require it. It returns whether the
+// message must still be processed.
 func (n *Node) stepNewerTerm(m Message) bool {
 	switch m.Type {
 	case MessagePreVote:
@@ -238,8 +240,8 @@
 			return false
 		}
 	case MessageVote:
-		// Otherwise a member that was removed or cut off could depose a leader that has a quorum.
-		if n.hearsLeader() && !m.Force {
+		// Otherwise a member that was removed or partitioned could depose a leader that has a quorum.
+		if n.hasLeaderContact() && !m.Force {
 			return false
 		}
 	}
@@ -260,8 +262,9 @@
 	return false
 }
 
-// stepOlderTerm answers messages whose sender must learn of the newer term. Without the answer to a leader, a member
-// with a newer term could never rejoin: pre-vote keeps it from an election, and it ignores the leader.
+// stepOlderTerm replies to messages of an older term whose sender must learn of the newer one. Without the reply to a
+// leader, a member with a newer term could never rejoin the group: it would lose each pre-vote, and it ignores the
+// leader's messages.
 func (n *Node) stepOlderTerm(m Message) {
 	switch m.Type {
 	case MessagePreVote:
@@ -297,18 +300,18 @@
 	case MessageSnapshot:
 		n.handleSnapshot(m)
 	case MessagePoll:
-		n.answerPoll(m)
+		n.replyToPoll(m)
 	case MessagePollReply:
 		n.handlePollReply(m)
 	case MessageTimeoutNow:
 		n.handleTimeoutNow()
 	default:
-		return errors.Wrapf(ErrInvalidMessage, "type %d", m.Type)
+		return errors.Wrapf(ErrInvalidMessage, "unknown message type %d", m.Type)
 	}
 	return nil
 }
 
-// followLeader notes contact with the leader of this term. It returns false if the term has another leader.
+// followLeader records a message from the leader of this term. It returns false if the term has another leader.
 func (n *Node) followLeader(id MemberID) bool {
 	unique := n.leader == "" || n.leader == id
 	if !n.check(unique, "two leaders in one term", map[string]any{"leader": n.leader, "other": id}) {
@@ -322,7 +325,7 @@
 	return true
 }
 
-// check reports a violated invariant of this package's state.
+// check reports a violated invariant unless ok is set, and returns ok.
 func (n *Node) check(ok bool, message string, values map[string]any) bool {
 	if ok {
 		return true
@@ -331,7 +334,7 @@
 	return invariant.Check(false, invariant.Internal, "raft: "+message, values)
 }
 
-// send queues a message. Votes and append replies promise what is durable and wait for the write.
+// send queues a message. Votes and append replies tell others what this member has stored, so they wait for the write.
 func (n *Node) send(m Message) {
 	m.From = n.config.ID
 	if m.Term == 0 {
@@ -339,9 +342,9 @@
 	}
 	switch m.Type {
 	case MessageVote, MessageVoteReply, MessageAppendReply:
-		n.after = append(n.after, m)
+		n.messages = append(n.messages, m)
 	default:
-		n.early = append(n.early, m)
+		n.earlyMessages = append(n.earlyMessages, m)
 	}
 }
 
@@ -376,13 +379,13 @@
 		Membership:        n.membership(),
 		MembershipPending: n.membershipPending(),
 		QuorumLost:        n.quorumLost,
-		Transferring:      n.leading.transferee,
+		Transferring:      n.leaderState.transferee,
 	}
 	if n.role != RoleLeader {
 		return s
 	}
 	s.Progress = make(map[MemberID]MemberProgress)
-	for id, p := range n.leading.progress {
+	for id, p := range n.leaderState.progress {
 		s.Progress[id] = p.status(n.now)
 	}
 	return s
--- a/coordination/raft/progress.go
+++ b/coordination/raft/progress.go
@@ -10,24 +10,28 @@
 	// match is the last index that the member has confirmed as durable. next is the next index to send.
 	match, next uint64
 	state       ProgressState
-	// paused is set in ProgressProbe while an append is unanswered.
+	// paused is set in ProgressProbe while the leader waits for the reply to an append.
 	paused bool
-	// inflight lists the last index of each append that is unanswered, in ProgressReplicate.
+	// inflight lists the last index of each append without a reply, in ProgressReplicate.
 	inflight []uint64
-	// snapshotIndex, snapshotSent and snapshotWait describe the unanswered snapshot and when it counts as lost.
-	snapshotIndex uint64
-	snapshotSent  time.Time
-	snapshotWait  time.Duration
-	// contact is the time of the last message; heard is false while it is only the start of the term.
-	contact time.Time
-	heard   bool
-	// answered is the last heartbeat round that the member answered. sendRound is the round of the last append.
-	answered, sendRound uint64
-	sentCommit          uint64
+	// snapshotIndex and snapshotSent describe the snapshot without a reply, in ProgressSnapshot. It counts as lost
+	// snapshotTimeout after it was sent.
+	snapshotIndex   uint64
+	snapshotSent    time.Time
+	snapshotTimeout time.Duration
+	// lastContact is when the last message arrived in this term. If contacted is not set, there was none, and
+	// lastContact is when the leader started to track the member.
+	lastContact time.Time
+	contacted   bool
+	// repliedRound is the last heartbeat round that the member replied to. appendRound is the heartbeat round during
+	// which the last append or snapshot was sent.
+	repliedRound, appendRound uint64
+	// sentCommit is the commit index that was last sent to the member.
+	sentCommit uint64
 }
 
-// probe makes the leader search for the end of the common prefix.
-func (p *progress) probe(next uint64) {
+// startProbe makes the leader search for the last index at which its log and the member's match, starting before next.
+func (p *progress) startProbe(next uint64) {
 	p.state = ProgressProbe
 	p.next = max(next, p.match+1)
 	p.paused = false
@@ -35,7 +39,7 @@
 	p.sentCommit = 0
 }
 
-// confirm notes that the member holds the log up to an index.
+// confirm records that the member has made the leader's log durable up to an index.
 func (p *progress) confirm(index uint64) {
 	p.match = max(p.match, index)
 	p.next = max(p.next, p.match+1)
@@ -47,20 +51,20 @@
 		if p.match >= p.snapshotIndex {
 			p.state = ProgressReplicate
 			p.next = p.match + 1
-			p.snapshotWait = 0
+			p.snapshotTimeout = 0
 		}
 	}
-	done := slices.IndexFunc(p.inflight, func(last uint64) bool { return last > index })
-	if done < 0 {
-		done = len(p.inflight)
+	confirmed := slices.IndexFunc(p.inflight, func(last uint64) bool { return last > index })
+	if confirmed < 0 {
+		confirmed = len(p.inflight)
 	}
-	p.inflight = p.inflight[done:]
+	p.inflight = p.inflight[confirmed:]
 }
 
-// sent notes an append message with entries up to last.
-func (p *progress) sent(last, commit, round uint64) {
+// recordAppend records that an append message with entries up to last was sent.
+func (p *progress) recordAppend(last, commit, round uint64) {
 	p.sentCommit = commit
-	p.sendRound = round
+	p.appendRound = round
 	if p.state == ProgressProbe {
 		p.paused = true
 		return
@@ -71,9 +75,9 @@
 
 func (p *progress) status(now time.Time) MemberProgress {
 	s := MemberProgress{Match: p.match, Next: p.next, State: p.state, Inflight: len(p.inflight), SinceContact: -1,
-		Silence: now.Sub(p.contact)}
-	if p.heard {
-		s.SinceContact = now.Sub(p.contact)
+		Silence: now.Sub(p.lastContact)}
+	if p.contacted {
+		s.SinceContact = now.Sub(p.lastContact)
 	}
 	return s
 }
--- a/coordination/raft/replication.go
+++ b/coordination/raft/replication.go
@@ -6,12 +6,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxSnapshotWait bounds the time after which a snapshot that seems lost is sent again. The wait starts at the election
-// timeout and doubles, so that a slow transfer is not repeated forever.
-const maxSnapshotWait = time.Minute
+// maxSnapshotTimeout is the longest time after which a snapshot without a reply is sent again. The time is the election
+// timeout at first and doubles with each attempt, so that a slow transfer is not restarted forever.
+const maxSnapshotTimeout = time.Minute
 
 // Propose appends commands on the leader and returns the index of the first one and their term. The data must not be
-// modified afterwards. A command is accepted once an entry with this index and term is committed.
+// modified afterwards. A command is accepted once the entry with its index and this term is committed. The error is
+// ErrNotLeader, ErrTransferring, ErrTooLarge or ErrOverloaded.
 func (n *Node) Propose(now time.Time, data ...[]byte) (first uint64, term uint64, err error) {
 	n.setNow(now)
 	if err := n.checkProposal(data); err != nil {
@@ -28,7 +29,7 @@
 	if n.role != RoleLeader {
 		return ErrNotLeader
 	}
-	if n.leading.transferee != "" {
+	if n.leaderState.transferee != "" {
 		return ErrTransferring
 	}
 	size := 0
@@ -38,22 +39,22 @@
 		}
 		size += Entry{Data: command}.size()
 	}
-	// The first proposal passes in any case, so that no accepted size can block for good.
-	if n.leading.uncommittedBytes > 0 && n.leading.uncommittedBytes+size > n.config.MaxUncommittedBytes {
+	// If nothing is uncommitted, a proposal of any size is accepted. Otherwise one above the limit could never succeed.
+	if n.leaderState.uncommittedBytes > 0 && n.leaderState.uncommittedBytes+size > n.config.MaxUncommittedBytes {
 		return ErrOverloaded
 	}
 	return nil
 }
 
-// appendEntry adds an entry of the leader's term.
+// appendEntry appends an entry with the next index and the leader's term.
 func (n *Node) appendEntry(entry Entry) {
 	entry.Index, entry.Term = n.log.last()+1, n.term
-	n.leading.uncommittedBytes += entry.size()
-	n.leading.replicate = true
+	n.leaderState.uncommittedBytes += entry.size()
+	n.leaderState.replicationPending = true
 	n.appendToLog(entry)
 }
 
-// appendToLog adds entries. A membership is in effect as soon as it is in the log.
+// appendToLog appends entries. A membership is in effect as soon as it is in the log.
 func (n *Node) appendToLog(entries ...Entry) {
 	n.log.append(entries...)
 	for _, entry := range entries {
@@ -63,14 +64,14 @@
 	}
 }
 
-// replicateAll queues appends for all members.
+// replicateAll queues the messages that bring all members up to date.
 func (n *Node) replicateAll() {
-	n.leading.replicate = false
+	n.leaderState.replicationPending = false
 	for _, member := range n.membership().Members {
 		if member.ID == n.config.ID {
 			continue
 		}
-		p := n.leading.progress[member.ID]
+		p := n.leaderState.progress[member.ID]
 		for n.sendAppend(member.ID, p) {
 		}
 	}
@@ -97,9 +98,9 @@
 	entries := n.log.slice(p.next, n.log.last(), n.config.MaxAppendBytes)
 	n.send(Message{
 		To: id, Type: MessageAppend, Index: previous, LogTerm: term,
-		Entries: entries, Commit: n.commit, Round: n.leading.round,
+		Entries: entries, Commit: n.commit, Round: n.leaderState.round,
 	})
-	p.sent(previous+uint64(len(entries)), n.commit, n.leading.round)
+	p.recordAppend(previous+uint64(len(entries)), n.commit, n.leaderState.round)
 	return p.state == ProgressReplicate
 }
 
@@ -113,16 +114,16 @@
 }
 
 func (n *Node) sendSnapshot(id MemberID, p *progress) {
-	if n.now.Sub(p.contact) >= n.config.ElectionTimeout {
-		// The member is probably unreachable. Its next heartbeat reply continues the probe.
-		p.probe(p.match + 1)
+	if n.now.Sub(p.lastContact) >= n.config.ElectionTimeout {
+		// The member is probably unreachable. Its next heartbeat reply makes the leader try again.
+		p.startProbe(p.match + 1)
 		return
 	}
 	s := n.snapshot
 	p.state = ProgressSnapshot
-	p.snapshotIndex, p.snapshotSent, p.sendRound = s.Index, n.now, n.leading.round
-	p.snapshotWait = min(max(2*p.snapshotWait, n.config.ElectionTimeout), maxSnapshotWait)
-	n.send(Message{To: id, Type: MessageSnapshot, Snapshot: &s, Round: n.leading.round})
+	p.snapshotIndex, p.snapshotSent, p.appendRound = s.Index, n.now, n.leaderState.round
+	p.snapshotTimeout = min(max(2*p.snapshotTimeout, n.config.ElectionTimeout), maxSnapshotTimeout)
+	n.send(Message{To: id, Type: MessageSnapshot, Snapshot: &s, Round: n.leaderState.round})
 }
 
 func (n *Node) handleAppend(m Message) {
@@ -132,7 +133,7 @@
 		return
 	}
 	if m.Index < n.commit {
-		// The committed prefix is known to match.
+		// The committed entries are known to match, so only the entries after them are merged.
 		m.Entries = m.Entries[n.commit-m.Index:]
 		m.Index = n.commit
 		m.LogTerm, _ = n.log.term(n.commit)
@@ -165,7 +166,7 @@
 		return true
 	}
 	first := entries[0].Index
-	if !n.check(first > n.commit, "replaces a committed entry", map[string]any{"index": first}) {
+	if !n.check(first > n.commit, "append would replace a committed entry", map[string]any{"index": first}) {
 		return false
 	}
 	if first <= n.log.last() {
@@ -182,7 +183,7 @@
 	}
 }
 
-// commitTo raises the commit index.
+// commitTo raises the commit index. A lower index has no effect.
 func (n *Node) commitTo(index uint64) {
 	if index <= n.commit {
 		return
@@ -193,67 +194,68 @@
 }
 
 func (n *Node) handleAppendReply(m Message) {
-	p := n.noteContact(m)
+	p := n.recordContact(m)
 	if p == nil {
 		return
 	}
-	n.noteRound()
+	n.confirmRounds()
 	if m.Reject {
 		n.handleAppendReject(m, p)
 		return
 	}
-	if !n.check(m.Index <= n.log.last(), "confirmed entry does not exist", map[string]any{"index": m.Index}) {
+	if !n.check(m.Index <= n.log.last(), "a member confirmed an entry that the leader's log lacks", map[string]any{"index": m.Index}) {
 		return
 	}
 	p.confirm(m.Index)
-	n.leading.replicate = true
+	n.leaderState.replicationPending = true
 	n.advanceCommit()
 	if n.role == RoleLeader {
 		n.continueTransfer(m.From)
 	}
 }
 
-// handleAppendReject moves back to the last index that can match, given the follower's hint.
+// handleAppendReject moves the next index back to the last one that can match, given the follower's hint.
 func (n *Node) handleAppendReject(m Message, p *progress) {
 	outdated := m.Index <= p.match || p.state == ProgressProbe && m.Index != p.next-1
 	if outdated || p.state == ProgressSnapshot {
 		return
 	}
 	hint, _ := n.log.conflictHint(m.Hint, m.LogTerm)
-	p.probe(min(m.Index, hint+1))
-	n.leading.replicate = true
+	p.startProbe(min(m.Index, hint+1))
+	n.leaderState.replicationPending = true
 }
 
-// noteContact returns the progress of the sender, or nil if this member does not lead it.
-func (n *Node) noteContact(m Message) *progress {
-	p := n.leading.progress[m.From]
+// recordContact records that the sender is reachable and which heartbeat round it replied to. It returns the progress
+// of the sender, or nil if this member is not its leader.
+func (n *Node) recordContact(m Message) *progress {
+	p := n.leaderState.progress[m.From]
 	if p == nil {
 		return nil
 	}
-	p.contact, p.heard = n.now, true
-	p.answered = max(p.answered, m.Round)
+	p.lastContact, p.contacted = n.now, true
+	p.repliedRound = max(p.repliedRound, m.Round)
 	return p
 }
 
-// advanceCommit commits what a quorum has synced. Entries of earlier terms are committed only together with one of the
-// leader's own term.
+// advanceCommit commits the entries that a quorum has made durable. Entries of earlier terms are committed only
+// together with one of the leader's own term, because a later leader could still replace them.
 func (n *Node) advanceCommit() {
-	index := n.quorumValue(func(id MemberID) uint64 { return n.leading.progress[id].match })
+	index := n.quorumValue(func(id MemberID) uint64 { return n.leaderState.progress[id].match })
 	if index <= n.commit || !n.log.matches(index, n.term) {
 		return
 	}
 	for _, entry := range n.log.entries[n.commit-n.log.offset : index-n.log.offset] {
-		n.leading.uncommittedBytes -= entry.size()
+		n.leaderState.uncommittedBytes -= entry.size()
 	}
-	first := n.commit < n.leading.termStart
+	firstCommitOfTerm := n.commit < n.leaderState.termStart
 	n.commitTo(index)
-	n.leading.replicate = true
+	n.leaderState.replicationPending = true
 	if _, ok := n.membership().Find(n.config.ID); !ok && !n.membershipPending() {
-		n.resign()
+		n.stepDownAfterRemoval()
 		return
 	}
-	if first {
-		// Rounds from here on confirm the state as current.
+	if firstCommitOfTerm {
+		// Heartbeat rounds that start from now on confirm the state as current.
 		n.startRound()
 	}
 }
@@ -268,39 +270,39 @@
 }
 
 func (n *Node) handleHeartbeatReply(m Message) {
-	p := n.noteContact(m)
+	p := n.recordContact(m)
 	if p == nil {
 		return
 	}
-	n.noteRound()
+	n.confirmRounds()
 	if m.Poll != 0 {
-		n.answerPoll(m)
+		n.replyToPoll(m)
 	}
-	n.checkLost(m, p)
+	n.resendLost(m, p)
 	n.continueTransfer(m.From)
 }
 
-// checkLost handles appends that were sent before a round which the member has answered, but that are unanswered
-// themselves: the append or its reply may be lost.
-func (n *Node) checkLost(m Message, p *progress) {
-	if m.Round <= p.sendRound {
+// resendLost handles appends and snapshots without a reply from a member that has replied to a later heartbeat round:
+// the message or its reply may be lost.
+func (n *Node) resendLost(m Message, p *progress) {
+	if m.Round <= p.appendRound {
 		return
 	}
 	switch {
 	case p.state == ProgressProbe:
 		p.paused = false
-		n.leading.replicate = true
+		n.leaderState.replicationPending = true
 	case p.state == ProgressReplicate && p.match < p.next-1:
-		// An empty append finds out without sending the entries again: the member may only be slow to sync them.
+		// The member may only be slow to write the entries. Its reply to an empty append shows whether they are missing.
 		term, _ := n.log.term(p.next - 1)
-		p.sendRound = n.leading.round
+		p.appendRound = n.leaderState.round
 		n.send(Message{
-			To: m.From, Type: MessageAppend, Index: p.next - 1, LogTerm: term, Commit: n.commit, Round: n.leading.round,
+			To: m.From, Type: MessageAppend, Index: p.next - 1, LogTerm: term, Commit: n.commit, Round: n.leaderState.round,
 		})
-	case p.state == ProgressSnapshot && n.now.Sub(p.snapshotSent) >= p.snapshotWait:
-		// The snapshot is sent again only if the member does not have it: its reply may be the message that was lost.
-		p.probe(min(m.Index, p.snapshotIndex) + 1)
-		n.leading.replicate = true
+	case p.state == ProgressSnapshot && n.now.Sub(p.snapshotSent) >= p.snapshotTimeout:
+		// The probe sends the snapshot again only if the member lacks it: the lost message may have been the reply.
+		p.startProbe(min(m.Index, p.snapshotIndex) + 1)
+		n.leaderState.replicationPending = true
 	}
 }
 
@@ -323,8 +325,8 @@
 	n.replyAppend(m, s.Index)
 }
 
-// NewSnapshot completes an application snapshot at an applied index with its term and membership. The caller makes it
-// durable, then calls Compact.
+// NewSnapshot returns a snapshot of the application's state at an applied index, with the term and membership at that
+// index. The caller makes it durable, then calls Compact. The error is ErrInvalidSnapshot.
 func (n *Node) NewSnapshot(index uint64, data []byte) (Snapshot, error) {
 	term, ok := n.log.term(index)
 	if !ok || index == 0 || index < n.snapshot.Index || index > n.applied {
@@ -333,7 +335,8 @@
 	return Snapshot{Index: index, Term: term, Membership: n.membershipAt(index), Data: data}, nil
 }
 
-// Compact drops log entries that a durable snapshot covers, except for the trailing ones.
+// Compact removes the log entries that a durable snapshot covers, except for the last Config.TrailingEntries of them.
+// The error is ErrInvalidSnapshot.
 func (n *Node) Compact(snapshot Snapshot) error {
 	if snapshot.Index <= n.snapshot.Index {
 		return nil
@@ -350,25 +353,26 @@
 	return nil
 }
 
-// startRound sends a heartbeat round. Its answers keep the leadership and confirm the state as current.
+// startRound sends a heartbeat to each member. The replies of a quorum keep the leadership and confirm the leader's
+// state as current.
 func (n *Node) startRound() {
-	n.leading.round++
-	n.leading.rounds = append(n.leading.rounds, round{number: n.leading.round, start: n.now, commit: n.commit})
-	n.leading.nextHeartbeat = n.now.Add(n.config.HeartbeatInterval)
+	n.leaderState.round++
+	n.leaderState.rounds = append(n.leaderState.rounds, round{number: n.leaderState.round, start: n.now, commit: n.commit})
+	n.leaderState.nextHeartbeat = n.now.Add(n.config.HeartbeatInterval)
 	for _, member := range n.membership().Members {
 		if member.ID == n.config.ID {
 			continue
 		}
 		n.send(Message{
-			To: member.ID, Type: MessageHeartbeat, Round: n.leading.round,
-			Commit: min(n.commit, n.leading.progress[member.ID].match),
+			To: member.ID, Type: MessageHeartbeat, Round: n.leaderState.round,
+			Commit: min(n.commit, n.leaderState.progress[member.ID].match),
 		})
 	}
-	n.leading.progress[n.config.ID].answered = n.leading.round
-	n.noteRound()
+	n.leaderState.progress[n.config.ID].repliedRound = n.leaderState.round
+	n.confirmRounds()
 }
 
-// round is one heartbeat round of a leader.
+// round is one heartbeat round of a leader, with its start time and the commit index at that time.
 type round struct {
 	number uint64
 	start  time.Time
--- a/coordination/raft/types.go
+++ b/coordination/raft/types.go
@@ -1,9 +1,10 @@
-// Package raft is a replicated log. It is a state machine without I/O: messages and time go in, and Ready returns what
-// to persist, what to send and what to apply. It implements pre-vote, check-quorum, learners, single-step membership
-// change, leadership transfer, snapshots and an upper bound on the age of a member's state.
+// Package raft implements a replicated log by the Raft consensus algorithm. A Node is a state machine without I/O: its
+// inputs are messages and time, and Ready returns what to persist, to send and to apply. The package implements
+// pre-vote, check-quorum, learners, single-step membership change, leadership transfer, snapshots and an upper bound on
+// the age of a member's state.
 //
-// The caller drives a Node from one goroutine in this order: Ready; send Early; persist Snapshot, then HardState and
-// Entries; send Messages; apply Snapshot or Committed; Advance.
+// The caller drives a Node from one goroutine in this order: call Ready; send EarlyMessages; persist Snapshot, then
+// HardState and Entries; send Messages; apply Snapshot or Committed; call Advance.
 package raft
 
 import (
@@ -20,7 +21,7 @@
 	ErrNotLeader = errors.New("raft: not the leader")
 	// ErrTransferring reports a proposal during a leadership transfer.
 	ErrTransferring = errors.New("raft: leadership transfer in progress")
-	// ErrOverloaded reports a proposal while too many bytes wait to be committed.
+	// ErrOverloaded reports a proposal while more than MaxUncommittedBytes would wait to be committed.
 	ErrOverloaded = errors.New("raft: too many uncommitted bytes")
 	// ErrTooLarge reports a proposal above MaxEntryBytes.
 	ErrTooLarge = errors.New("raft: entry too large")
@@ -41,10 +42,10 @@
 	ErrInvalidSnapshot = errors.New("raft: snapshot does not match the log")
 )
 
-// MaxEntryBytes is the largest size of one entry's data.
+// MaxEntryBytes is the largest size of one entry's data, in bytes.
 const MaxEntryBytes = 16 << 20
 
-// MemberID identifies a member by the random identity of its data folder.
+// MemberID identifies a member. It is the random identity of the member's data folder.
 type MemberID string
 
 // EntryKind says how an entry is interpreted.
@@ -68,10 +69,10 @@
 	Data  []byte
 }
 
-// size estimates the encoded size; the constant covers the fields other than Data.
+// size estimates the encoded size in bytes; the constant covers the fields other than Data.
 func (e Entry) size() int { return len(e.Data) + 16 }
 
-// HardState is the part of a member's state that is durable before messages that depend on it are sent.
+// HardState is the part of a member's state that must be durable before messages that depend on it are sent.
 type HardState struct {
 	Term   uint64   `cbor:"1,keyasint,omitempty"`
 	Vote   MemberID `cbor:"2,keyasint,omitempty"`
@@ -117,7 +118,7 @@
 	return voters
 }
 
-// Snapshot replaces the log up to and including Index.
+// Snapshot replaces the log up to and including Index. Data is the application's state.
 type Snapshot struct {
 	Index      uint64     `cbor:"1,keyasint"`
 	Term       uint64     `cbor:"2,keyasint"`
@@ -132,33 +133,35 @@
 const (
 	// MessagePreVote asks whether a vote in Term would be granted. Index and LogTerm describe the last entry.
 	MessagePreVote MessageType = iota + 1
-	// MessagePreVoteReply answers with Reject. A granted reply repeats the Term of the request.
+	// MessagePreVoteReply grants the pre-vote, or rejects it if Reject is set. If granted, Term is that of the request.
 	MessagePreVoteReply
-	// MessageVote asks for a vote. Force is set after a leadership transfer.
+	// MessageVote asks for a vote. Force is set after a leadership transfer: the receiver then votes although it has a
+	// leader.
 	MessageVote
-	// MessageVoteReply answers with Reject.
+	// MessageVoteReply grants the vote, or refuses it if Reject is set.
 	MessageVoteReply
 	// MessageAppend carries entries that follow the entry at Index with term LogTerm.
 	MessageAppend
-	// MessageAppendReply confirms all entries up to Index as synced, or rejects Index with Hint and LogTerm.
+	// MessageAppendReply confirms all entries up to Index as durable. If Reject is set, the receiver's log does not match
+	// at Index; Hint and LogTerm are then the index and term of an earlier entry at which it may match.
 	MessageAppendReply
 	// MessageCommit announces Commit for the log up to Index, if the term at Index is LogTerm. It has no reply.
 	MessageCommit
-	// MessageHeartbeat keeps the leadership and carries Commit, limited to what the receiver confirmed.
+	// MessageHeartbeat keeps the leadership and carries Commit, limited to the entries that the receiver has confirmed.
 	MessageHeartbeat
-	// MessageHeartbeatReply repeats Round and may carry a Poll. Index is the last entry, synced or not.
+	// MessageHeartbeatReply repeats Round and may carry a Poll. Index is the last entry, durable or not.
 	MessageHeartbeatReply
 	// MessageSnapshot carries a whole snapshot.
 	MessageSnapshot
-	// MessagePoll asks the leader for the age of its state.
+	// MessagePoll asks the leader for the age of its state. Poll is the number of the request.
 	MessagePoll
-	// MessagePollReply answers Poll: the log up to Index holds everything that was committed more than Age ago.
+	// MessagePollReply replies to Poll: the log up to Index holds everything that was committed more than Age ago.
 	MessagePollReply
 	// MessageTimeoutNow asks the receiver to start an election at once.
 	MessageTimeoutNow
 )
 
-// Message is one message between members.
+// Message is one message between members. The comments of the message types say what the fields mean.
 type Message struct {
 	From     MemberID      `cbor:"1,keyasint"`
 	To       MemberID      `cbor:"2,keyasint"`
@@ -211,19 +214,20 @@
 	ElectionTimeout time.Duration
 	// HeartbeatInterval is the time between heartbeat rounds. Default: 150 ms.
 	HeartbeatInterval time.Duration
-	// PollInterval is the time between freshness polls. Default: 250 ms.
+	// PollInterval is the time between the polls by which a follower asks the leader for the age of its state. Default:
+	// 250 ms.
 	PollInterval time.Duration
 	// MaxAppendBytes limits the entries of one append message and of one batch to apply. One entry is always sent.
 	// Default: 256 KiB.
 	MaxAppendBytes int
-	// MaxInflightAppends limits the append messages that a follower has not answered. Default: 64.
+	// MaxInflightAppends limits the append messages to one follower that it has not replied to. Default: 64.
 	MaxInflightAppends int
 	// MaxUncommittedBytes limits the proposals that wait to be committed. Default: 64 MiB.
 	MaxUncommittedBytes int
 	// TrailingEntries is the number of entries that Compact keeps in memory, so that a follower that is slightly behind
 	// needs no snapshot. Default: 1024.
 	TrailingEntries int
-	// Rand randomises timeouts and poll numbers. It must be seeded differently for each start of a member.
+	// Rand randomises timeouts and poll numbers. It must be seeded differently for each start of each member.
 	Rand *rand.Rand
 }
 
@@ -232,8 +236,8 @@
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
-	// Membership is the first membership of a new group. It is used when neither snapshot nor log hold one. It is empty
-	// on a member that joins an existing group.
+	// Membership is the first membership of a new group. It is used if neither the snapshot nor the log holds one. It is
+	// empty on a member that joins an existing group.
 	Membership Membership
 }
 
@@ -241,15 +245,15 @@
 type Ready struct {
 	HardState HardState
 	// MustSync is set if HardState, Entries or Snapshot must be durable before Messages are sent. Otherwise nothing needs
-	// to be written: a commit index that has advanced is learned again after a restart.
+	// to be written: after a restart the member learns an advanced commit index again from the leader.
 	MustSync bool
 	Entries  []Entry
 	Snapshot *Snapshot
 	// Committed lists entries to apply, in order: one batch of about MaxAppendBytes. It is empty when Snapshot is set.
 	Committed []Entry
-	// EarlyMessages may be sent before the write.
+	// EarlyMessages may be sent before HardState, Entries and Snapshot are durable.
 	EarlyMessages []Message
-	// Messages may be sent only after the write.
+	// Messages may be sent only after HardState, Entries and Snapshot are durable.
 	Messages []Message
 }
 
@@ -287,12 +291,15 @@
 
 // MemberProgress is the leader's view of one member.
 type MemberProgress struct {
+	// Match is the last index that the member has confirmed as durable. Next is the next index to send.
 	Match, Next uint64
 	State       ProgressState
-	Inflight    int
+	// Inflight is the number of append messages without a reply.
+	Inflight int
 	// SinceContact is the time since the last message of this member; negative if there was none in this term.
 	SinceContact time.Duration
-	// Silence is the time since the last message of this member, or since it was first tracked in this term.
+	// Silence is the time since the last message of this member or, if there was none in this term, since the leader
+	// started to replicate to it.
 	Silence time.Duration
 }
 
@@ -306,8 +313,8 @@
 	Membership                         Membership
 	// MembershipPending is set while the last membership change is not committed.
 	MembershipPending bool
-	// QuorumLost is set after this member gave up the leadership because it had no contact with a quorum, until it
-	// learns of a leader.
+	// QuorumLost is set after this member stepped down as leader because it had no contact with a quorum, until there is
+	// a leader again.
 	QuorumLost bool
 	// Transferring is the target of a leadership transfer in progress.
 	Transferring MemberID
