--- a/control/replica.go
+++ b/control/replica.go
@@ -151,7 +151,7 @@
 func (r *replica) processReady(now time.Time) {
 	for !r.writeInFlight && !r.hasFailed && r.raft.HasReady() {
 		ready := r.raft.Ready()
-		r.transport.send(ready.Early)
+		r.transport.send(ready.EarlyMessages)
 		if !ready.MustSync {
 			r.finishBatch(now, ready)
 			continue
@@ -161,7 +161,7 @@
 	}
 	if r.writeInFlight && !r.hasFailed {
 		// A slow write must not stop heartbeats.
-		r.transport.send(r.raft.TakeEarly())
+		r.transport.send(r.raft.TakeEarlyMessages())
 	}
 	r.endProposalsAfterLeadership()
 }
--- a/coordination/forward/forward_test.go
+++ b/coordination/forward/forward_test.go
@@ -32,68 +32,69 @@
 
 var _ = Describe("Call", func() {
 	// Guards against telling a caller "not run" because the last attempt was shed, although an earlier attempt of the
-	// same call was still running on an upstream when it was given up.
-	It("is uncertain after an attempt that may have run, whatever the next one ends with", func() {
+	// same call was still running on an upstream when the ingress stopped waiting for it.
+	It("has an unknown outcome after an attempt that may have run, whatever the outcome of the next one", func() {
 		call := newCall(bundle.ClassLookup)
-		call.Sent()
-		Expect(call.Ended(start, forward.Result{Outcome: retry.Unknown}, rand.NewPCG(1, 1)).Action).To(Equal(forward.Send))
-		call.Sent()
-		call.Ended(start, forward.Result{Outcome: retry.NotRun, Final: true}, rand.NewPCG(1, 1))
-		Expect(call.Verdict()).To(Equal(retry.Unknown))
+		call.AttemptStarted()
+		Expect(call.AttemptEnded(start, forward.Result{Outcome: retry.Unknown}, rand.NewPCG(1, 1)).Action).To(Equal(forward.Retry))
+		call.AttemptStarted()
+		call.AttemptEnded(start, forward.Result{Outcome: retry.NotRun, Final: true}, rand.NewPCG(1, 1))
+		Expect(call.Outcome()).To(Equal(retry.Unknown))
 	})
 
-	// Guards against a repeat for each request when all upstreams of a service refuse half of what reaches them: the
-	// refused requests had arrived there, so their repeats count against the budget from the first one on.
-	It("charges the budget for the repeat of a request that an upstream itself refused", func() {
+	// Guards against a retry of every refused request when all upstreams of a service refuse half of their requests. The
+	// refused requests had reached an upstream, so that even their first retry is charged to the budget.
+	It("charges the budget for the retry of a request that an upstream itself refused", func() {
 		budget := retry.NewBudget(retry.Config{MaxAttempts: 2, Percent: 10, MinPerSecond: 1e-9, Burst: 1})
-		repeats := 0
+		retries := 0
 		for range 100 {
 			budget.Call(start)
 			call := forward.New(forward.Config{
 				Class: bundle.ClassLookup, Budget: budget, Deadline: start.Add(time.Second), Resendable: true,
 			})
-			call.Sent()
-			refused := forward.Result{Outcome: retry.NotRun, Reached: true}
-			if call.Ended(start, refused, rand.NewPCG(1, 1)).Action == forward.Send {
-				repeats++
+			call.AttemptStarted()
+			refused := forward.Result{Outcome: retry.NotRun, RefusedByUpstream: true}
+			if call.AttemptEnded(start, refused, rand.NewPCG(1, 1)).Action == forward.Retry {
+				retries++
 			}
 		}
-		Expect(repeats).To(BeNumerically("<=", 11), "10% of the calls and the one saved retry")
+		Expect(retries).To(BeNumerically("<=", 11), "10% of the calls and the one saved retry")
 	})
 
-	// Guards against refusing calls for lack of budget while another upstream has a free slot, and against more than
-	// one such retry per call, which would multiply the attempts of an overload.
-	It("tries one other upstream outside the budget after a refusal, and no more", func() {
+	// Guards against refusing calls for lack of budget while another upstream has a free slot, and against more than one
+	// retry per call without a charge, which would multiply the attempts during an overload.
+	It("makes one retry without a charge to the budget after a refusal, and no more", func() {
 		call := forward.New(forward.Config{
 			Class: bundle.ClassLookup, Budget: retry.NewBudget(retry.Config{MaxAttempts: 4, MinPerSecond: 1e-9, Burst: 1}),
 			Deadline: start.Add(time.Second), Resendable: true,
 		})
 		refused := forward.Result{Outcome: retry.NotRun}
-		call.Sent()
-		Expect(call.Ended(start, refused, rand.NewPCG(1, 1)).Action).To(Equal(forward.Send))
-		call.Sent()
-		Expect(call.Ended(start, refused, rand.NewPCG(1, 1)).Action).To(Equal(forward.Send), "the one saved retry")
-		call.Sent()
-		Expect(call.Ended(start, refused, rand.NewPCG(1, 1)).Action).To(Equal(forward.Fail))
+		call.AttemptStarted()
+		Expect(call.AttemptEnded(start, refused, rand.NewPCG(1, 1)).Action).To(Equal(forward.Retry))
+		call.AttemptStarted()
+		Expect(call.AttemptEnded(start, refused, rand.NewPCG(1, 1)).Action).To(Equal(forward.Retry), "the one saved retry")
+		call.AttemptStarted()
+		Expect(call.AttemptEnded(start, refused, rand.NewPCG(1, 1)).Action).To(Equal(forward.Fail))
 	})
 
 	It("never has two attempts of an irreversible call in flight", func() {
 		call := newCall(bundle.ClassIrreversible)
-		call.Sent()
+		call.AttemptStarted()
 		Expect(call.MayHedge(start)).To(BeFalse())
 		Expect(call.Hedge(start)).To(BeFalse())
 	})
 
-	// Guards the three truths under any order of results and hedges.
-	It("says not run only if every attempt was proved not run", func() {
+	// Guards, under any order of results and hedges, against the outcome "not run" for a call that may have run, against
+	// a second attempt of an irreversible call that may have run, and against more attempts than are allowed.
+	It("has the outcome not run only if every attempt was certainly not run", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			class := rapid.SampledFrom([]bundle.Class{bundle.ClassLookup, bundle.ClassIrreversible}).Draw(t, "class")
 			call := newCall(class)
 			now, pending, mayHaveRun := start, 1, false
-			call.Sent()
+			call.AttemptStarted()
 			for sent := 1; pending > 0; {
 				if rapid.Bool().Draw(t, "hedge") && call.Hedge(now) {
-					call.Sent()
+					call.AttemptStarted()
 					sent, pending = sent+1, pending+1
 				}
 				if class == bundle.ClassIrreversible && pending > 1 {
@@ -103,14 +104,14 @@
 				result := forward.Result{
 					Outcome: outcome, Final: rapid.Bool().Draw(t, "final"), Suspect: rapid.Bool().Draw(t, "suspect"),
 				}
-				decision := call.Ended(now, result, rand.NewPCG(1, uint64(sent)))
+				decision := call.AttemptEnded(now, result, rand.NewPCG(1, uint64(sent)))
 				pending--
 				if class == bundle.ClassIrreversible && mayHaveRun {
 					t.Fatalf("an irreversible call was sent again after an attempt that may have run")
 				}
 				mayHaveRun = mayHaveRun || outcome == retry.Unknown
-				if decision.Action == forward.Send {
-					call.Sent()
+				if decision.Action == forward.Retry {
+					call.AttemptStarted()
 					sent, pending = sent+1, pending+1
 				}
 				if sent > 4 {
@@ -118,8 +119,8 @@
 				}
 				now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
 			}
-			if (call.Verdict() == retry.NotRun) == mayHaveRun {
-				t.Fatalf("verdict %v, may have run %v", call.Verdict(), mayHaveRun)
+			if (call.Outcome() == retry.NotRun) == mayHaveRun {
+				t.Fatalf("outcome %v, may have run %v", call.Outcome(), mayHaveRun)
 			}
 		})
 	})
--- a/node/forwarding.go
+++ b/node/forwarding.go
@@ -55,7 +55,7 @@
 		case result := <-f.results:
 			f.pending--
 			switch f.handleResult(ctx, result) {
-			case forward.Answer:
+			case forward.Respond:
 				return f.complete(result)
 			case forward.Fail:
 				return f.fail()
@@ -128,7 +128,7 @@
 	}
 	f.tried = append(f.tried, target.ID)
 	c.tried = f.tried
-	f.plan.Sent()
+	f.plan.AttemptStarted()
 	f.pending++
 	started := &attempt{forwarder: f, index: len(f.cancels), target: target}
 	var cancel context.CancelFunc
@@ -147,13 +147,13 @@
 // handleResult passes the result of an attempt to the plan and starts the next attempt if the plan asks for one.
 func (f *forwarder) handleResult(ctx context.Context, result attemptResult) forward.Action {
 	meta := &result.reply.metadata
-	decision := f.plan.Ended(time.Now(), forward.Result{
+	decision := f.plan.AttemptEnded(time.Now(), forward.Result{
 		Outcome: retryOutcomes[meta.Outcome], Final: isFinal(meta.Reason), Suspect: meta.Suspect,
-		Reached: meta.Reason == protocol.ReasonUpstreamRefused,
-		Failed:  result.reply.failedByUpstream() && result.reply.stream == nil,
+		RefusedByUpstream: meta.Reason == protocol.ReasonUpstreamRefused,
+		ErrorResponse:     result.reply.failedByUpstream() && result.reply.stream == nil,
 	}, f.random)
-	if decision.Action == forward.Answer {
-		return forward.Answer
+	if decision.Action == forward.Respond {
+		return forward.Respond
 	}
 	if meta.Outcome == protocol.OutcomeDone {
 		f.failedResult = &result
@@ -162,11 +162,11 @@
 	}
 	result.reply.finish()
 	f.cancels[result.index]()
-	if decision.Action != forward.Send {
+	if decision.Action != forward.Retry {
 		return decision.Action
 	}
-	f.call.node.requestLog.attemptFailed(f.call, result.reply, f.tried[result.index], decision.After)
-	sleep(ctx, decision.After)
+	f.call.node.requestLog.attemptFailed(f.call, result.reply, f.tried[result.index], decision.Delay)
+	sleep(ctx, decision.Delay)
 	if ctx.Err() != nil {
 		return forward.Wait
 	}
@@ -217,7 +217,7 @@
 	if f.failedResult != nil {
 		return f.failedResult.reply
 	}
-	if f.plan.Verdict() == retry.NotRun {
+	if f.plan.Outcome() == retry.NotRun {
 		refused := notRunReply(f.lastReason)
 		refused.metadata.Load = f.lastLoad
 		return refused
--- a/node/ingress.go
+++ b/node/ingress.go
@@ -265,7 +265,7 @@
 	}
 	plan := forward.New(forward.Config{
 		Class: c.route.Class, Budget: c.policy.budget, Deadline: c.deadline, UnderRetry: c.metadata.Retry,
-		Resendable: c.body.buffered(), Alone: c.exclusive,
+		Resendable: c.body.buffered(), Exclusive: c.exclusive,
 	})
 	f := &forwarder{call: c, plan: plan, results: make(chan attemptResult, maxAttemptsInFlight)}
 	f.random = rand.NewPCG(rand.Uint64(), rand.Uint64())
