--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -137,7 +137,7 @@
 
 func (c *Call) attempt(now time.Time, outcome retry.Outcome) retry.Attempt {
 	return retry.Attempt{
-		Class: c.config.Class, Outcome: outcome, Number: c.sent, UnderRetry: c.config.UnderRetry,
+		Class: c.config.Class, Outcome: outcome, Number: c.sent, WithinRetry: c.config.UnderRetry,
 		Suspect: c.suspect, Remaining: c.config.Deadline.Sub(now),
 	}
 }
--- a/coordination/forward/forward_test.go
+++ b/coordination/forward/forward_test.go
@@ -48,7 +48,7 @@
 		budget := retry.NewBudget(retry.Config{MaxAttempts: 2, Percent: 10, MinPerSecond: 1e-9, Burst: 1})
 		repeats := 0
 		for range 100 {
-			budget.Call(start)
+			budget.CountCall(start)
 			call := forward.New(forward.Config{
 				Class: bundle.ClassLookup, Budget: budget, Deadline: start.Add(time.Second), Resendable: true,
 			})
--- a/coordination/retry/after.go
+++ b/coordination/retry/after.go
@@ -11,12 +11,12 @@
 
 // The causes.
 const (
-	// CauseFull means that the upstreams have no free slot.
-	CauseFull Cause = iota
-	// CauseFaulty means that an upstream refused the request itself. Another try may succeed at once.
-	CauseFaulty
-	// CauseAbsent means that no upstream is known to take calls, or that this process is not ready or leaving.
-	CauseAbsent
+	// CauseOverload means that the upstreams have no free slot.
+	CauseOverload Cause = iota
+	// CauseTransient means that an upstream refused the request itself. Another try may succeed at once.
+	CauseTransient
+	// CauseUnavailable means that no upstream is known to take calls, or that this process is not ready or leaving.
+	CauseUnavailable
 )
 
 const (
@@ -36,10 +36,10 @@
 func After(cause Cause, load balance.Load, fraction float64) time.Duration {
 	wait := minAfter
 	switch cause {
-	case CauseFull:
+	case CauseOverload:
 		mean := time.Duration(load.LatencyMicros) * time.Microsecond
 		wait = mean * time.Duration(load.Queued+1) / time.Duration(max(load.Slots, 1))
-	case CauseAbsent:
+	case CauseUnavailable:
 		wait = absentAfter
 	}
 	wait = min(max(wait, minAfter), maxAfter)
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -30,8 +30,8 @@
 	Outcome Outcome
 	// Number counts the attempts so far, starting at 1.
 	Number int
-	// UnderRetry is set for calls that carry the Sapphire-Retry header.
-	UnderRetry bool
+	// WithinRetry is set for calls that carry the Sapphire-Retry header.
+	WithinRetry bool
 	// Suspect is set for requests that were in flight when an upstream crashed.
 	Suspect bool
 	// Remaining is the time until the deadline.
@@ -102,9 +102,9 @@
 	return b
 }
 
-// Call counts a call that is not under Sapphire-Retry. Calls under Sapphire-Retry must not be counted: they are
+// CountCall counts a call that is not under Sapphire-Retry. Calls under Sapphire-Retry must not be counted: they are
 // retries of another node and would earn further retries.
-func (b *Budget) Call(now time.Time) {
+func (b *Budget) CountCall(now time.Time) {
 	b.refill(now)
 	b.add(int64(b.config.Percent) * perPercent)
 }
@@ -141,7 +141,7 @@
 // with the call depth.
 func (b *Budget) Retryable(a Attempt) bool {
 	switch {
-	case a.UnderRetry, a.Suspect, a.Number >= b.config.MaxAttempts:
+	case a.WithinRetry, a.Suspect, a.Number >= b.config.MaxAttempts:
 		return false
 	case a.Outcome == NotRun:
 		return true
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -37,12 +37,12 @@
 			return
 		}
 		if !underRetry {
-			budgets[level].Call(now)
+			budgets[level].CountCall(now)
 		}
 		for number := 1; ; number++ {
 			call(now, level+1, underRetry || number > 1)
 			a := retry.Attempt{
-				Class: bundle.ClassLookup, Outcome: retry.NotRun, Number: number, UnderRetry: underRetry, Remaining: time.Second,
+				Class: bundle.ClassLookup, Outcome: retry.NotRun, Number: number, WithinRetry: underRetry, Remaining: time.Second,
 			}
 			if _, again := budgets[level].Decide(now, a, source); !again {
 				return
@@ -59,7 +59,7 @@
 	It("holds its share when every call fails", func() {
 		b, retries := retry.NewBudget(retry.Config{MinPerSecond: 0.001}), 0
 		for i := range 10_000 {
-			b.Call(at(i))
+			b.CountCall(at(i))
 			if b.Allow(at(i)) {
 				retries++
 			}
@@ -85,7 +85,7 @@
 	It("saves no more than the burst", func() {
 		b, retries := retry.NewBudget(retry.Config{Burst: 5}), 0
 		for i := range 1000 {
-			b.Call(at(i))
+			b.CountCall(at(i))
 		}
 		for b.Allow(at(86_400_000)) {
 			retries++
@@ -105,7 +105,7 @@
 			a.Class, a.Outcome = bundle.ClassIrreversible, retry.NotRun
 		}, true),
 		Entry("unknown class", func(a *retry.Attempt) { a.Class = "" }, false),
-		Entry("under a retry", func(a *retry.Attempt) { a.UnderRetry = true }, false),
+		Entry("under a retry", func(a *retry.Attempt) { a.WithinRetry = true }, false),
 		Entry("suspect of a crash", func(a *retry.Attempt) { a.Suspect = true }, false),
 		Entry("last attempt", func(a *retry.Attempt) { a.Number = retry.DefaultMaxAttempts }, false),
 	)
@@ -135,7 +135,7 @@
 		for range 8 {
 			wait.Go(func() {
 				for range 5000 {
-					b.Call(at(0))
+					b.CountCall(at(0))
 					if b.Allow(at(0)) {
 						taken.Add(1)
 					}
@@ -152,7 +152,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			budget.Call(begin)
+			budget.CountCall(begin)
 			budget.Allow(begin)
 		}
 	})
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -16,8 +16,8 @@
 var (
 	// ErrNoRoute means that no route matches the request.
 	ErrNoRoute = errors.New("routing: no route matches")
-	// ErrDangling reports a route whose service or resource the bundle does not hold.
-	ErrDangling = errors.New("routing: route refers to something that the bundle does not hold")
+	// ErrDanglingReference reports a route whose service or resource the bundle does not hold.
+	ErrDanglingReference = errors.New("routing: route refers to something that the bundle does not hold")
 )
 
 // Request is the part of an HTTP request that routes match on.
@@ -81,13 +81,13 @@
 	route := &Route{Route: definition}
 	for _, share := range definition.Shares() {
 		if _, ok := services[share.Service]; !ok {
-			return nil, errors.Wrapf(ErrDangling, "route %s, service %s", definition.Name, share.Service)
+			return nil, errors.Wrapf(ErrDanglingReference, "route %s, service %s", definition.Name, share.Service)
 		}
 	}
 	for _, name := range definition.Resources {
 		resource, ok := resources[name]
 		if !ok {
-			return nil, errors.Wrapf(ErrDangling, "route %s, resource %s", definition.Name, name)
+			return nil, errors.Wrapf(ErrDanglingReference, "route %s, resource %s", definition.Name, name)
 		}
 		route.Resources = append(route.Resources, resource)
 	}
@@ -176,8 +176,8 @@
 	return true
 }
 
-// Named returns the route with a name.
-func (t *Table) Named(name string) (*Route, bool) {
+// ByName returns the route with a name.
+func (t *Table) ByName(name string) (*Route, bool) {
 	route, ok := t.routes[name]
 	return route, ok
 }
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -24,7 +24,7 @@
 }
 
 func mustNamed(table *routing.Table, name string) *routing.Route {
-	found, ok := table.Named(name)
+	found, ok := table.ByName(name)
 	Expect(ok).To(BeTrue())
 	return found
 }
@@ -94,7 +94,7 @@
 				if !r.Match.Matches(request.Host, request.Method, request.Path, func(string) string { return "" }) {
 					continue
 				}
-				if held, ok := table.Named(want); !ok || r.Match.Compare(held.Match) < 0 {
+				if held, ok := table.ByName(want); !ok || r.Match.Compare(held.Match) < 0 {
 					want = r.Name
 				}
 			}
@@ -110,7 +110,7 @@
 
 	It("refuses a route whose service is missing", func() {
 		_, err := routing.New(&bundle.Bundle{Routes: []bundle.Route{route("lost", "", "/")}})
-		Expect(err).To(MatchError(routing.ErrDangling))
+		Expect(err).To(MatchError(routing.ErrDanglingReference))
 	})
 })
 
--- a/node/answer.go
+++ b/node/answer.go
@@ -144,12 +144,12 @@
 
 // retryCauses tells when a refused request can succeed; other reasons mean that the upstreams are full.
 var retryCauses = map[protocol.Reason]retry.Cause{
-	protocol.ReasonUpstreamRefused: retry.CauseFaulty,
-	protocol.ReasonUnreachable:     retry.CauseFaulty,
-	protocol.ReasonNodeFailed:      retry.CauseFaulty,
-	protocol.ReasonNoUpstream:      retry.CauseAbsent,
-	protocol.ReasonNotReady:        retry.CauseAbsent,
-	protocol.ReasonDraining:        retry.CauseAbsent,
+	protocol.ReasonUpstreamRefused: retry.CauseTransient,
+	protocol.ReasonUnreachable:     retry.CauseTransient,
+	protocol.ReasonNodeFailed:      retry.CauseTransient,
+	protocol.ReasonNoUpstream:      retry.CauseUnavailable,
+	protocol.ReasonNotReady:        retry.CauseUnavailable,
+	protocol.ReasonDraining:        retry.CauseUnavailable,
 }
 
 func balanceLoad(load protocol.LoadReport) balance.Load {
--- a/node/ingress.go
+++ b/node/ingress.go
@@ -255,7 +255,7 @@
 // forward tries upstreams until one answers or another attempt is not allowed.
 func (c *ingressCall) forward(ctx context.Context) *reply {
 	if !c.head.Retry {
-		c.policy.budget.Call(c.started)
+		c.policy.budget.CountCall(c.started)
 	}
 	plan := forward.New(forward.Config{
 		Class: c.route.Class, Budget: c.policy.budget, Deadline: c.deadline, UnderRetry: c.head.Retry,
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -60,7 +60,7 @@
 		next.services[service.Name] = service
 	}
 	for _, definition := range b.Routes {
-		route, ok := routes.Named(definition.Name)
+		route, ok := routes.ByName(definition.Name)
 		invariant.Check(ok, invariant.DanglingRoute, "route is missing from the routing table",
 			map[string]any{"route": definition.Name, "version": approval.Version})
 		next.policies[route.Name] = newRoutePolicy(route, previous)
@@ -77,7 +77,7 @@
 	}
 	var kept *routePolicy
 	if previous != nil {
-		if old, ok := previous.routes.Named(route.Name); ok {
+		if old, ok := previous.routes.ByName(route.Name); ok {
 			kept = previous.policies[route.Name]
 			if old.Retry != route.Retry {
 				policy.budget = nil
