--- a/coordination/balance/snapshot.go
+++ b/coordination/balance/snapshot.go
@@ -27,10 +27,10 @@
 	byID      map[string]*endpoint // serving and suspect ones
 	// all holds the serving endpoints of all zones, suspects the suspect ones.
 	all, suspects *group
-	// zones holds the serving endpoints by zone, the nearest zone first.
-	zones []*group
-	// local is the zone of this process; nil if it has no serving endpoint. remote are the other zones.
+	// local is the zone of this process; nil if it has no serving endpoint. zones are all zones with serving endpoints,
+	// the nearest first, and remote those other than local.
 	local  *group
+	zones  []*group
 	remote []*group
 	// remoteWeights holds the cumulative weights of remote. A zone weighs more with more endpoints and with less delay.
 	remoteWeights []float64
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -1,4 +1,5 @@
-// Package retry decides whether a failed call is sent again. A Budget is safe for concurrent use.
+// Package retry decides whether and when a failed call is sent again, and limits retries to a share of the calls. A
+// Budget is safe for concurrent use.
 package retry
 
 import (
@@ -14,25 +15,25 @@
 // Outcome is the outcome of one attempt.
 type Outcome uint8
 
-// The outcomes.
 const (
-	// Done is a complete response of the upstream, whatever its status.
+	// Done means that the upstream sent a complete response, whatever its status.
 	Done Outcome = iota
-	// NotRun is proved not run, including calls that were shed.
+	// NotRun means that the call was provably not run; calls that admission refused are among these.
 	NotRun
-	// Unknown may or may not have run.
+	// Unknown means that the call may or may not have been run.
 	Unknown
 )
 
-// Attempt describes the attempt that just ended.
+// Attempt describes an attempt that has ended.
 type Attempt struct {
 	Class   bundle.Class
 	Outcome Outcome
 	// Number counts the attempts so far, starting at 1.
 	Number int
-	// WithinRetry is set for calls that carry the Sapphire-Retry header.
+	// WithinRetry is set for calls with the header Sapphire-Retry: a process further up the chain of calls has made
+	// them on behalf of a retry.
 	WithinRetry bool
-	// Suspect is set for requests that were in flight when an upstream crashed.
+	// Suspect is set for requests that were in flight when an upstream crashed, and may have caused the crash.
 	Suspect bool
 	// Remaining is the time until the deadline.
 	Remaining time.Duration
@@ -44,9 +45,9 @@
 	MaxAttempts int
 	// Percent bounds retries as a share of the route's calls.
 	Percent int
-	// MinPerSecond is the rate of retries that is allowed whatever the number of calls.
+	// MinPerSecond is the rate of retries that is allowed in addition, whatever the number of calls.
 	MinPerSecond float64
-	// Burst bounds the retries that can be saved up.
+	// Burst is the capacity of the budget, in retries.
 	Burst float64
 	// BaseDelay is the upper bound of the delay before the first retry; it doubles with each further retry.
 	BaseDelay time.Duration
@@ -54,15 +55,14 @@
 	MaxDelay time.Duration
 }
 
-// The defaults of Config.
+// Defaults of Config.
 const (
 	DefaultMaxAttempts = 3
-	// DefaultPercent is the share of the design page.
-	DefaultPercent = 10
-	// DefaultMinPerSecond lets a route with a few calls a minute retry. On 16,000 nodes it adds at most 3,200 calls/s, a
-	// thousandth of the design load.
+	DefaultPercent     = 10
+	// DefaultMinPerSecond allows retries on a route with a few calls a minute. On 16,000 nodes it adds at most 3,200
+	// calls/s, a thousandth of the load that the system is designed for.
 	DefaultMinPerSecond = 0.2
-	// DefaultBurst covers the calls in flight on one upstream when it crashes.
+	// DefaultBurst is enough for the calls that are in flight on one upstream when it crashes.
 	DefaultBurst     = 10
 	DefaultBaseDelay = 10 * time.Millisecond
 	DefaultMaxDelay  = time.Second
@@ -79,52 +79,52 @@
 }
 
 const (
-	// oneRetry is the price of a retry in token units.
-	oneRetry = 1_000_000
-	// perPercent is what one call adds for each percent of the budget.
-	perPercent = oneRetry / 100
+	tokensPerRetry = 1_000_000
+	// tokensPerPercent is the number of tokens that one call adds for each unit of Config.Percent.
+	tokensPerPercent = tokensPerRetry / 100
 )
 
-// Budget bounds the retries of one route: a token bucket that calls fill in proportion and time at a small rate.
+// Budget limits the retries of one route. It is a token bucket that is filled by each call and, at a low rate, by time.
 type Budget struct {
 	config Config
 	tokens atomic.Int64
-	// start is the first time seen. Times are kept as offsets from it, which the wall clock does not move.
-	start atomic.Pointer[time.Time]
-	// filled is the offset up to which the minimum rate has been credited.
-	filled atomic.Int64
+	// epoch is the time of the first call. Times are kept as offsets from it by the monotonic clock, which does not
+	// jump as the wall clock may.
+	epoch atomic.Pointer[time.Time]
+	// creditedUntil is the offset up to which the tokens of MinPerSecond have been added.
+	creditedUntil atomic.Int64
 }
 
-// NewBudget returns a budget with one saved retry.
+// NewBudget returns a budget that holds one retry.
 func NewBudget(c Config) *Budget {
 	b := &Budget{config: c.withDefaults()}
-	b.tokens.Store(oneRetry)
+	b.tokens.Store(tokensPerRetry)
 	return b
 }
 
-// CountCall counts a call that is not under Sapphire-Retry. Calls under Sapphire-Retry must not be counted: they are
-// retries of another node and would earn further retries.
+// CountCall adds the share of one call to the budget. It must not be called for calls with the header Sapphire-Retry:
+// these are due to a retry elsewhere, and would allow further retries.
 func (b *Budget) CountCall(now time.Time) {
 	b.refill(now)
-	b.add(int64(b.config.Percent) * perPercent)
+	b.add(int64(b.config.Percent) * tokensPerPercent)
 }
 
-// Allow takes one retry from the budget, if it holds one.
+// Allow reports whether the budget holds a retry, and takes it.
 func (b *Budget) Allow(now time.Time) bool {
 	b.refill(now)
 	for {
 		tokens := b.tokens.Load()
-		if tokens < oneRetry {
+		if tokens < tokensPerRetry {
 			return false
 		}
-		if b.tokens.CompareAndSwap(tokens, tokens-oneRetry) {
+		if b.tokens.CompareAndSwap(tokens, tokens-tokensPerRetry) {
 			return true
 		}
 	}
 }
 
-// Decide reports whether the call is sent again and after which delay. It takes from the budget only if the attempt
-// may be retried.
+// Decide reports whether the call is sent again, and after which delay. It takes a retry from the budget only if the
+// call may be retried and the delay ends before the deadline.
 func (b *Budget) Decide(now time.Time, a Attempt, source rand.Source) (time.Duration, bool) {
 	if !b.Retryable(a) {
 		return 0, false
@@ -136,9 +136,9 @@
 	return delay, b.Allow(now)
 }
 
-// Retryable reports whether the rules allow a further attempt, whatever the budget holds. Irreversible calls are
-// retried only if they are proved not run. Calls under Sapphire-Retry are never retried, so retries do not multiply
-// with the call depth.
+// Retryable reports whether a further attempt is allowed, regardless of the tokens left. Irreversible calls are retried
+// only if they provably were not run. Calls with the header Sapphire-Retry are never retried, so that retries do not
+// multiply along a chain of calls.
 func (b *Budget) Retryable(a Attempt) bool {
 	switch {
 	case a.WithinRetry, a.Suspect, a.Number >= b.config.MaxAttempts:
@@ -152,8 +152,8 @@
 	}
 }
 
-// Delay returns a random delay before the next attempt. Its upper bound doubles with each attempt; the lower bound is
-// 0, which spreads the retries of many callers best.
+// Delay returns a random delay before the next attempt: exponential backoff with full jitter. Its upper bound doubles
+// with each attempt; its lower bound is 0, which spreads the retries of many callers best.
 func (b *Budget) Delay(attempt int, source rand.Source) time.Duration {
 	bound := b.config.BaseDelay
 	for i := 1; i < attempt && bound < b.config.MaxDelay; i++ {
@@ -164,25 +164,26 @@
 	return time.Duration(high)
 }
 
-// refill credits the minimum rate for the time since the last credit. Only the goroutine that moves the mark adds.
+// refill adds the tokens of MinPerSecond for the time since creditedUntil. Only the goroutine that advances
+// creditedUntil adds them.
 func (b *Budget) refill(now time.Time) {
-	const step = int64(10 * time.Millisecond) // keeps most calls from writing the mark
-	start := b.start.Load()
-	if start == nil {
-		first := now // only the copy escapes to the heap
-		b.start.CompareAndSwap(nil, &first)
+	const step = int64(10 * time.Millisecond) // so that most calls do not write creditedUntil
+	epoch := b.epoch.Load()
+	if epoch == nil {
+		first := now // a copy, so that only this case allocates
+		b.epoch.CompareAndSwap(nil, &first)
 		return
 	}
-	at, filled := int64(now.Sub(*start)), b.filled.Load()
-	if at-filled < step || !b.filled.CompareAndSwap(filled, at) {
+	at, creditedUntil := int64(now.Sub(*epoch)), b.creditedUntil.Load()
+	if at-creditedUntil < step || !b.creditedUntil.CompareAndSwap(creditedUntil, at) {
 		return
 	}
-	credit := time.Duration(at-filled).Seconds() * b.config.MinPerSecond * oneRetry
-	b.add(int64(min(credit, b.config.Burst*oneRetry)))
+	credit := time.Duration(at-creditedUntil).Seconds() * b.config.MinPerSecond * tokensPerRetry
+	b.add(int64(min(credit, b.config.Burst*tokensPerRetry)))
 }
 
 func (b *Budget) add(credit int64) {
-	limit := int64(b.config.Burst * oneRetry)
+	limit := int64(b.config.Burst * tokensPerRetry)
 	for {
 		tokens := b.tokens.Load()
 		next := min(tokens+credit, limit)
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -23,28 +23,29 @@
 
 func at(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
 
-// chain sends calls down a chain of services whose last one always fails, and returns the attempts at the last one.
-func chain(depth, calls int) int {
+// chainAttempts makes calls through a chain of services of which the last one always fails, and returns the number of
+// attempts on the last one.
+func chainAttempts(depth, calls int) int {
 	budgets := make([]*retry.Budget, depth)
 	for i := range budgets {
 		budgets[i] = retry.NewBudget(retry.Config{MinPerSecond: 0.001})
 	}
 	source, attempts := rand.NewPCG(1, 2), 0
-	var call func(now time.Time, level int, underRetry bool)
-	call = func(now time.Time, level int, underRetry bool) {
+	var call func(now time.Time, level int, withinRetry bool)
+	call = func(now time.Time, level int, withinRetry bool) {
 		if level == depth {
 			attempts++
 			return
 		}
-		if !underRetry {
+		if !withinRetry {
 			budgets[level].CountCall(now)
 		}
 		for number := 1; ; number++ {
-			call(now, level+1, underRetry || number > 1)
+			call(now, level+1, withinRetry || number > 1)
 			a := retry.Attempt{
-				Class: bundle.ClassLookup, Outcome: retry.NotRun, Number: number, WithinRetry: underRetry, Remaining: time.Second,
+				Class: bundle.ClassLookup, Outcome: retry.NotRun, Number: number, WithinRetry: withinRetry, Remaining: time.Second,
 			}
-			if _, again := budgets[level].Decide(now, a, source); !again {
+			if _, retried := budgets[level].Decide(now, a, source); !retried {
 				return
 			}
 		}
@@ -56,7 +57,7 @@
 }
 
 var _ = Describe("Budget", func() {
-	It("holds its share when every call fails", func() {
+	It("allows no more than its share of retries when every call fails", func() {
 		b, retries := retry.NewBudget(retry.Config{MinPerSecond: 0.001}), 0
 		for i := range 10_000 {
 			b.CountCall(at(i))
@@ -67,14 +68,17 @@
 		Expect(retries).To(BeNumerically("~", 1000, 2))
 	})
 
-	It("adds at most its share at each level, also 22 calls deep", func() {
-		GinkgoWriter.Printf("attempts per call: depth 1 %v, depth 22 %v\n", float64(chain(1, 10_000))/10_000, float64(chain(22, 1000))/1000)
-		Expect(chain(1, 10_000)).To(BeNumerically("<=", 11_010))
-		// Each of the 22 levels may retry a tenth of the first calls; without the rule the factor would be 3 to the 22nd.
-		Expect(chain(22, 1000)).To(BeNumerically("<=", 1000*(1+22*0.1)+22*retry.DefaultBurst))
+	// Guards against retries that multiply along a chain of calls.
+	It("adds at most its share of retries at each level of a chain of 22 calls", func() {
+		GinkgoWriter.Printf("attempts per call: depth 1 %v, depth 22 %v\n",
+			float64(chainAttempts(1, 10_000))/10_000, float64(chainAttempts(22, 1000))/1000)
+		Expect(chainAttempts(1, 10_000)).To(BeNumerically("<=", 11_010))
+		// Each of the 22 levels may retry a tenth of the first calls. If calls within a retry were retried too, the
+		// factor would be 3 to the power of 22.
+		Expect(chainAttempts(22, 1000)).To(BeNumerically("<=", 1000*(1+22*0.1)+22*retry.DefaultBurst))
 	})
 
-	It("lets a quiet route retry now and then", func() {
+	It("allows retries at the minimum rate on a route without calls", func() {
 		b := retry.NewBudget(retry.Config{})
 		Expect(b.Allow(at(0))).To(BeTrue())
 		Expect(b.Allow(at(0))).To(BeFalse())
@@ -82,7 +86,7 @@
 		Expect(b.Allow(at(5_100))).To(BeTrue())
 	})
 
-	It("saves no more than the burst", func() {
+	It("holds no more retries than the burst", func() {
 		b, retries := retry.NewBudget(retry.Config{Burst: 5}), 0
 		for i := range 1000 {
 			b.CountCall(at(i))
@@ -105,15 +109,15 @@
 			a.Class, a.Outcome = bundle.ClassIrreversible, retry.NotRun
 		}, true),
 		Entry("unknown class", func(a *retry.Attempt) { a.Class = "" }, false),
-		Entry("under a retry", func(a *retry.Attempt) { a.WithinRetry = true }, false),
+		Entry("within a retry", func(a *retry.Attempt) { a.WithinRetry = true }, false),
 		Entry("suspect of a crash", func(a *retry.Attempt) { a.Suspect = true }, false),
 		Entry("last attempt", func(a *retry.Attempt) { a.Number = retry.DefaultMaxAttempts }, false),
 	)
 
 	It("does not spend the budget on a retry after the deadline", func() {
 		b := retry.NewBudget(retry.Config{})
-		_, again := b.Decide(at(0), retry.Attempt{Class: bundle.ClassLookup, Outcome: retry.NotRun, Number: 1}, rand.NewPCG(1, 2))
-		Expect(again).To(BeFalse())
+		_, retried := b.Decide(at(0), retry.Attempt{Class: bundle.ClassLookup, Outcome: retry.NotRun, Number: 1}, rand.NewPCG(1, 2))
+		Expect(retried).To(BeFalse())
 		Expect(b.Allow(at(0))).To(BeTrue())
 	})
 
@@ -128,7 +132,7 @@
 		}
 	})
 
-	It("gives out no token twice under concurrent use", func() {
+	It("allows no retry twice under concurrent use", func() {
 		b := retry.NewBudget(retry.Config{MinPerSecond: 0.001, Burst: 100})
 		var wait sync.WaitGroup
 		var taken atomic.Int64
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -1,4 +1,4 @@
-// Package routing finds the route of a request in a bundle. A Table is immutable and safe for concurrent use.
+// Package routing finds the route of a request. A Table is immutable and safe for concurrent use.
 package routing
 
 import (
@@ -16,8 +16,8 @@
 var (
 	// ErrNoRoute means that no route matches the request.
 	ErrNoRoute = errors.New("routing: no route matches")
-	// ErrDanglingReference reports a route whose service or resource the bundle does not hold.
-	ErrDanglingReference = errors.New("routing: route refers to something that the bundle does not hold")
+	// ErrDanglingReference reports a route that refers to a service or resource that the bundle does not define.
+	ErrDanglingReference = errors.New("routing: route refers to a service or resource that the bundle does not define")
 )
 
 // Request is the part of an HTTP request that routes match on.
@@ -29,32 +29,34 @@
 	Header func(name string) string
 }
 
-// Route is a route with what it refers to resolved.
+// Route is a route with the resources that it refers to.
 type Route struct {
 	bundle.Route
 	Resources []bundle.Resource
 }
 
-// Table finds routes by host and path prefix in time that grows with the path's depth, not with the number of routes.
+// Table finds routes by host and path prefix. The time of a search grows with the number of segments of the path, not
+// with the number of routes.
 type Table struct {
-	routes  map[string]*Route
-	byHost  map[string]*segment
-	anyHost *segment
+	routes  map[string]*Route    // by name
+	byHost  map[string]*pathNode // tree of the routes for each host
+	anyHost *pathNode            // tree of the routes without a host
 }
 
-// segment is a node of the tree of path segments.
-type segment struct {
-	children map[string]*segment
-	// routes end at this segment, those with more conditions first.
+// pathNode is a node of the tree of path segments.
+type pathNode struct {
+	children map[string]*pathNode
+	// routes are those whose path prefix ends here, the most specific one first.
 	routes []*Route
 }
 
-// New builds a table. It fails on the first route that refers to something missing.
+// New returns the table of a bundle's routes. It fails with ErrDanglingReference if a route refers to a service or
+// resource that the bundle does not define.
 func New(b *bundle.Bundle) (*Table, error) {
 	table := &Table{
 		routes:  make(map[string]*Route, len(b.Routes)),
-		byHost:  make(map[string]*segment),
-		anyHost: &segment{},
+		byHost:  make(map[string]*pathNode),
+		anyHost: &pathNode{},
 	}
 	services := make(map[string]bundle.Service, len(b.Services))
 	for _, service := range b.Services {
@@ -98,18 +100,18 @@
 	root := t.anyHost
 	if host := strings.ToLower(route.Match.Host); host != "" {
 		if t.byHost[host] == nil {
-			t.byHost[host] = &segment{}
+			t.byHost[host] = &pathNode{}
 		}
 		root = t.byHost[host]
 	}
 	current := root
-	for name := range segments(route.Match.PathPrefix) {
+	for name := range pathSegments(route.Match.PathPrefix) {
 		if current.children == nil {
-			current.children = make(map[string]*segment)
+			current.children = make(map[string]*pathNode)
 		}
 		next := current.children[name]
 		if next == nil {
-			next = &segment{}
+			next = &pathNode{}
 			current.children[name] = next
 		}
 		current = next
@@ -118,17 +120,17 @@
 	slices.SortStableFunc(current.routes, compareSpecificity)
 }
 
-// compareSpecificity is the order that bundle validation judges ambiguity by; names break ties, so that every node
-// chooses alike.
+// compareSpecificity orders more specific routes first, as the bundle validation does to detect ambiguous routes.
+// Equally specific ones are ordered by name, so that every node selects the same.
 func compareSpecificity(a, b *Route) int {
 	return cmp.Or(a.Match.Compare(b.Match), cmp.Compare(a.Name, b.Name))
 }
 
-// Match returns the route of a request: an exact host before any host, then the longest path prefix, then the
-// largest number of conditions.
+// Match returns the most specific route of a request: routes for its host come before routes for any host, then a
+// longer path prefix before a shorter one, then more conditions before fewer. The error is ErrNoRoute.
 func (t *Table) Match(request Request) (*Route, error) {
 	if len(t.byHost) > 0 {
-		if root := t.byHost[hostName(request.Host)]; root != nil {
+		if root := t.byHost[normalizeHost(request.Host)]; root != nil {
 			if route := root.find(request); route != nil {
 				return route, nil
 			}
@@ -140,31 +142,33 @@
 	return nil, ErrNoRoute
 }
 
-func (s *segment) find(request Request) *Route {
-	found := s.choose(request)
-	current := s
-	for name := range segments(request.Path) {
+// find returns the route with the longest path prefix that matches the request, or nil.
+func (n *pathNode) find(request Request) *Route {
+	best := n.firstMatch(request)
+	current := n
+	for name := range pathSegments(request.Path) {
 		current = current.children[name]
 		if current == nil {
 			break
 		}
-		if route := current.choose(request); route != nil {
-			found = route
+		if route := current.firstMatch(request); route != nil {
+			best = route
 		}
 	}
-	return found
+	return best
 }
 
-func (s *segment) choose(request Request) *Route {
-	for _, route := range s.routes {
-		if route.accepts(request) {
+func (n *pathNode) firstMatch(request Request) *Route {
+	for _, route := range n.routes {
+		if route.matchesConditions(request) {
 			return route
 		}
 	}
 	return nil
 }
 
-func (r *Route) accepts(request Request) bool {
+// matchesConditions reports whether the route's conditions on the method and the header fields hold.
+func (r *Route) matchesConditions(request Request) bool {
 	if len(r.Match.Methods) > 0 && !slices.Contains(r.Match.Methods, request.Method) {
 		return false
 	}
@@ -176,17 +180,17 @@
 	return true
 }
 
-// ByName returns the route with a name.
+// ByName returns the route with the given name.
 func (t *Table) ByName(name string) (*Route, bool) {
 	route, ok := t.routes[name]
 	return route, ok
 }
 
-// Len is the number of routes.
+// Len returns the number of routes.
 func (t *Table) Len() int { return len(t.routes) }
 
-// segments yields the non-empty segments of a path.
-func segments(path string) func(yield func(string) bool) {
+// pathSegments yields the non-empty pathSegments of a path.
+func pathSegments(path string) func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for path != "" {
 			name, rest, _ := strings.Cut(path, "/")
@@ -198,8 +202,8 @@
 	}
 }
 
-// hostName strips the port and folds the case.
-func hostName(host string) string {
+// normalizeHost removes the port and converts to lower case.
+func normalizeHost(host string) string {
 	if index := strings.LastIndexByte(host, ':'); index >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:index]
 	}
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -50,16 +50,16 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	DescribeTable("chooses the most specific route",
+	DescribeTable("selects the most specific route",
 		func(request routing.Request, want string) {
 			found, err := table.Match(request)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(found.Name).To(Equal(want))
 		},
 		Entry("longest prefix", routing.Request{Path: "/ranks/belts/7"}, "belts"),
-		Entry("whole segments only, so that /ranksheet is not /ranks", routing.Request{Path: "/ranksheet"}, "root"),
+		Entry("prefix of whole segments only: /ranksheet does not match /ranks", routing.Request{Path: "/ranksheet"}, "root"),
 		Entry("method before no method", routing.Request{Path: "/ranks", Method: "POST"}, "ranks-write"),
-		Entry("method does not hide the others", routing.Request{Path: "/ranks", Method: "GET"}, "ranks"),
+		Entry("route without a method for other methods", routing.Request{Path: "/ranks", Method: "GET"}, "ranks"),
 		Entry("host before any host", routing.Request{Host: "Ranks.Example:80", Path: "/ranks"}, "hosted"),
 		Entry("method before header", routing.Request{
 			Path: "/ranks", Method: "POST", Header: func(string) string { return "tournament" },
@@ -69,8 +69,8 @@
 		}, "tournament"),
 	)
 
-	// Guards against a table that chooses another route than the order that validation judges ambiguity by.
-	It("agrees with a search through all routes", func() {
+	// Guards against a table that selects by another order than the one by which validation detects ambiguous routes.
+	It("selects the same route as a search through all routes", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			b := &bundle.Bundle{Services: []bundle.Service{{Name: "rank"}}}
 			prefix := rapid.SampledFrom([]string{"/", "/a", "/a/b", "/a/b/c", "/ab"})
@@ -94,7 +94,7 @@
 				if !r.Match.Matches(request.Host, request.Method, request.Path, func(string) string { return "" }) {
 					continue
 				}
-				if held, ok := table.ByName(want); !ok || r.Match.Compare(held.Match) < 0 {
+				if best, ok := table.ByName(want); !ok || r.Match.Compare(best.Match) < 0 {
 					want = r.Name
 				}
 			}
--- a/coordination/routing/split.go
+++ b/coordination/routing/split.go
@@ -6,19 +6,18 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// Splitter spreads the requests of a route over its services by weight. It takes turns (smooth weighted round robin)
-// instead of drawing at random, so that the shares hold over a few hundred requests already. It is safe for concurrent
-// use.
+// Splitter distributes the requests of a route over its services by weight. It uses smooth weighted round robin instead
+// of random selection, so that the shares are exact after a few hundred requests. It is safe for concurrent use.
 type Splitter struct {
 	shares []bundle.Share
-	total  int
+	total  int // sum of the weights
 
 	mu      sync.Mutex
-	credits []int
+	credits []int // of each share; the one with the largest credit is next
 }
 
-// NewSplitter returns a splitter for the parts of a route. The first turns are skipped: processes that all start with
-// the same turn would together favour the first parts.
+// NewSplitter returns a splitter for the shares of a route. It skips the given number of turns: if all processes
+// started with the same turn, they would together send too many requests to the first shares.
 func NewSplitter(shares []bundle.Share, skip int) *Splitter {
 	s := &Splitter{shares: shares, credits: make([]int, len(shares))}
 	for _, share := range shares {
