--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -144,7 +144,7 @@
 
 func (c *Call) attempt(now time.Time, outcome retry.Outcome) retry.Attempt {
 	return retry.Attempt{
-		Class: c.config.Class, Outcome: outcome, Number: c.attempts, UnderRetry: c.config.UnderRetry,
+		Class: c.config.Class, Outcome: outcome, Number: c.attempts, WithinRetry: c.config.UnderRetry,
 		Suspect: c.suspect, Remaining: c.config.Deadline.Sub(now),
 	}
 }
--- a/node/ingress.go
+++ b/node/ingress.go
@@ -261,7 +261,7 @@
 // forward sends the call to upstreams until one responds or no further attempt is allowed.
 func (c *ingressCall) forward(ctx context.Context) *callReply {
 	if !c.metadata.Retry {
-		c.policy.budget.Call(c.started)
+		c.policy.budget.CountCall(c.started)
 	}
 	plan := forward.New(forward.Config{
 		Class: c.route.Class, Budget: c.policy.budget, Deadline: c.deadline, UnderRetry: c.metadata.Retry,
