--- a/control/admin.go
+++ b/control/admin.go
@@ -31,7 +31,7 @@
 	return mux
 }
 
-// Dump is the state of a control member.
+// Dump is the state of a control member, as PathDump serves it.
 type Dump struct {
 	ID             string                   `json:"id"`
 	Instance       string                   `json:"instance"`
@@ -48,7 +48,7 @@
 	Violations     map[invariant.Name]int64 `json:"violations"`
 }
 
-// GroupDump is the state of one log.
+// GroupDump is the state of one Raft group; group 0 is that of the registry.
 type GroupDump struct {
 	Group     uint32      `json:"group"`
 	Formed    bool        `json:"formed"`
@@ -101,6 +101,7 @@
 	_ = encoder.Encode(dump)
 }
 
+// observeReports adds crash reports of nodes to the quarantine list.
 func (m *Member) observeReports(now time.Time, reports []relay.CrashReport) {
 	for _, encoded := range reports {
 		report, err := protocol.DecodeCrashReport(encoded)
@@ -112,10 +113,11 @@
 	}
 }
 
+// publishReport sends a change of the quarantine list through the distribution tree.
 func (m *Member) publishReport(report quarantine.Report) {
 	encoded, err := protocol.EncodeCrashReport(report)
 	if err != nil {
-		m.logger.Error().Err(err).Msg("cannot encode a clearance")
+		m.logger.Error().Err(err).Msg("cannot encode the change of the quarantine list")
 		return
 	}
 	m.host.Post(func(now time.Time) { m.peer.PublishCrash(now, []relay.CrashReport{encoded}) })
--- a/control/automembership.go
+++ b/control/automembership.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// joinInterval is the time between two rounds in which a process without a group asks to join. It is well below the
-	// time for which a candidate counts as waiting.
+	// joinInterval is the time between two rounds of join requests by a process without a group. It is well below the
+	// time after which the leader forgets a candidate.
 	joinInterval = 300 * time.Millisecond
-	// joinRequestTimeout bounds one question, so that an address that does not answer does not delay the others for long.
+	// joinRequestTimeout bounds one join request, so that an address that does not answer does not hold up the others.
 	joinRequestTimeout = 500 * time.Millisecond
-	// maxLeaderConfirmationAge is how old the confirmation of a leader by a quorum may be when it says who belongs to the group.
-	// A leader that was cut off or suspended must not tell a member that it was removed.
+	// maxLeaderConfirmationAge is the longest time since a quorum confirmed a leader for which the leader may say who
+	// belongs to the group. A leader that was cut off or suspended must not tell a member that it was removed.
 	maxLeaderConfirmationAge = time.Second
 )
 
-// ErrRemoved means that this process was replaced in the group and has discarded its state. It joins under a new
-// identity when it is started again.
+// ErrRemoved means that the group has replaced this member, which has discarded its state. It joins under a new identity
+// when it is started again.
 var ErrRemoved = errors.New("control: the group has replaced this member")
 
-// proposeMembershipChange lets the leader propose the next membership change.
+// proposeMembershipChange proposes the next membership change that brings the group back to Options.Voters working
+// members. It does nothing unless this member is the leader.
 func (m *Member) proposeMembershipChange(now time.Time) {
 	r := m.replicas[registryGroup]
 	if m.options.Voters == 0 || !r.isLeader() {
@@ -48,7 +49,8 @@
 		Str("address", change.Member.Address).Msg("membership change proposed")
 }
 
-// describeGroup tells a process that asks to join what this member knows of the group, and notes it as a candidate.
+// describeGroup fills in what this member knows of the group, for a process that asks to join, and registers the process
+// as a candidate unless it is a member.
 func (m *Member) describeGroup(ctx context.Context, request *protocol.IdentifyRequest, reply *protocol.IdentifyReply) {
 	select {
 	case <-m.ready:
@@ -86,8 +88,8 @@
 	return addresses
 }
 
-// joinGroup asks to join while this process belongs to no group. A member without a leader asks too: the group may have
-// replaced it while it was away.
+// joinGroup sends join requests while this process belongs to no group. A member that knows no leader sends them too:
+// the group may have replaced it while it was stopped.
 func (m *Member) joinGroup() {
 	var known []string
 	for m.ctx.Err() == nil {
@@ -103,7 +105,9 @@
 	}
 }
 
-// requestJoin asks all known processes and returns the members that they name.
+// requestJoin sends a join request to all known addresses and seeds, and to the members that they name, until a leader
+// answers. It returns the addresses of the members. If this process is listed in its own membership but a leader says
+// that it is no member, it discards its state.
 func (m *Member) requestJoin(listed bool, known []string) []string {
 	addresses := append(slices.Clone(known), m.options.Seeds()...)
 	var members []string
@@ -140,8 +144,8 @@
 	})
 }
 
-// discardState gives up an identity that the group has removed. Its log must not be used again, so the folder is emptied and
-// the member stops; a new start joins as a candidate with an empty folder.
+// discardState empties the folder of the registry after the group has removed this member, because the log of a removed
+// identity must not be used again. The member stops; when it is started again, it joins as a candidate.
 func (m *Member) discardState() {
 	m.logger.Warn().Str("member", m.ID()).Msg("the group has replaced this member; its state is discarded")
 	if err := removeAll(m.options.RegistryFolder); err != nil {
--- a/control/automembership_test.go
+++ b/control/automembership_test.go
@@ -17,7 +17,7 @@
 	"sapphiregate.example/sapphiregate/state/disk"
 )
 
-// selfManagedGroup is a group that manages itself: five processes, of which the first three form it.
+// selfManagedGroup is a group whose leader replaces lost members: five processes, of which the first three form it.
 type selfManagedGroup struct {
 	addresses []string
 	members   []*control.Member
@@ -34,53 +34,53 @@
 }
 
 func newSelfManagedGroup() *selfManagedGroup {
-	c := &selfManagedGroup{members: make([]*control.Member, 5)}
-	for range c.members {
+	g := &selfManagedGroup{members: make([]*control.Member, 5)}
+	for range g.members {
 		listener := listenAt("127.0.0.1:0")
-		c.addresses = append(c.addresses, listener.Addr().String())
+		g.addresses = append(g.addresses, listener.Addr().String())
 		Expect(listener.Close()).To(Succeed())
 	}
-	for _, address := range c.addresses[:3] {
-		c.founders = append(c.founders, control.Founder{Address: address})
+	for _, address := range g.addresses[:3] {
+		g.founders = append(g.founders, control.Founder{Address: address})
 	}
-	for i := range c.members {
-		c.start(i, c.founders)
+	for i := range g.members {
+		g.start(i, g.founders)
 	}
 	DeferCleanup(func() {
-		for _, m := range c.members {
+		for _, m := range g.members {
 			m.Kill()
 		}
 	})
-	return c
+	return g
 }
 
-// start starts a process with an empty disk. Only founders at the first start form the group.
-func (c *selfManagedGroup) start(i int, founders []control.Founder) {
+// start starts process i with an empty disk. Only the first three processes use the founders, to form the group.
+func (g *selfManagedGroup) start(i int, founders []control.Founder) {
 	if i >= 3 {
 		founders = nil
 	}
 	m, err := control.New(control.Options{
-		Zone: "a", Mesh: listenAt(c.addresses[i]), Admin: listenAt("127.0.0.1:0"), Founders: founders,
+		Zone: "a", Mesh: listenAt(g.addresses[i]), Admin: listenAt("127.0.0.1:0"), Founders: founders,
 		RegistryFolder: disk.NewFake(rand.New(rand.NewSource(int64(i)))), Keys: bundle.NewKeyring(nil).Trust("ops"),
-		Voters: 5, Seeds: func() []string { return c.addresses[:3] },
+		Voters: 5, Seeds: func() []string { return g.addresses[:3] },
 		ElectionTimeout: 300 * time.Millisecond, HeartbeatInterval: 50 * time.Millisecond,
 		Logger: zerolog.New(GinkgoWriter),
 	})
 	Expect(err).NotTo(HaveOccurred())
 	m.Start()
-	c.members[i] = m
+	g.members[i] = m
 }
 
-// restartWithEmptyDisk ends a process and starts it again with an empty disk.
-func (c *selfManagedGroup) restartWithEmptyDisk(i int) {
-	c.members[i].Kill()
-	c.start(i, nil)
+// restartWithEmptyDisk kills process i and starts it again with an empty disk.
+func (g *selfManagedGroup) restartWithEmptyDisk(i int) {
+	g.members[i].Kill()
+	g.start(i, nil)
 }
 
-// put brings a version into force through any member.
-func (c *selfManagedGroup) put(version, base uint64) {
+// put puts a version into force through any member that accepts it.
+func (g *selfManagedGroup) put(version, base uint64) {
 	EventuallyWithOffset(1, func() error {
-		for _, m := range c.members {
+		for _, m := range g.members {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			_, err := m.Put(ctx, control.PutRequest{Version: version, Base: base, Operator: "ops", Bundle: &bundle.Bundle{
 				Services: []bundle.Service{{Name: "desk", QueueLimit: int(version)}},
@@ -94,15 +94,16 @@
 	}, eventuallyTimeout).Should(Succeed())
 }
 
-// isRepaired reports whether all processes vote and hold a version that a quorum confirms, and no lost member is left.
-func (c *selfManagedGroup) isRepaired(version uint64) func() bool {
+// isRepaired reports whether all members have the version, confirmed by a quorum, and the voters are exactly the present
+// processes.
+func (g *selfManagedGroup) isRepaired(version uint64) func() bool {
 	return func() bool {
 		var ids []string
-		for _, m := range c.members {
+		for _, m := range g.members {
 			ids = append(ids, m.ID())
 		}
 		slices.Sort(ids)
-		for _, m := range c.members {
+		for _, m := range g.members {
 			ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 			latest, b, err := m.Latest(ctx)
 			cancel()
@@ -117,33 +118,33 @@
 	}
 }
 
-var _ = Describe("a group that manages itself", func() {
-	// Guards against the loss of what was acknowledged when two disks are lost, and two others right after the repair.
-	It("repairs the loss of two disks, and then of two others", func() {
-		c := newSelfManagedGroup()
-		c.put(1, 0)
-		Eventually(c.isRepaired(1), eventuallyTimeout).Should(BeTrue())
-		c.restartWithEmptyDisk(1)
-		c.restartWithEmptyDisk(3)
-		Eventually(c.isRepaired(1), eventuallyTimeout).Should(BeTrue())
-		c.put(2, 1)
-		c.restartWithEmptyDisk(0)
-		c.restartWithEmptyDisk(4)
-		Eventually(c.isRepaired(2), eventuallyTimeout).Should(BeTrue())
+var _ = Describe("a group that replaces its lost members", func() {
+	// Guards against the loss of acknowledged versions when two of five disks are lost, and two others after the repair.
+	It("recovers from the loss of two disks, and then of two others", func() {
+		g := newSelfManagedGroup()
+		g.put(1, 0)
+		Eventually(g.isRepaired(1), eventuallyTimeout).Should(BeTrue())
+		g.restartWithEmptyDisk(1)
+		g.restartWithEmptyDisk(3)
+		Eventually(g.isRepaired(1), eventuallyTimeout).Should(BeTrue())
+		g.put(2, 1)
+		g.restartWithEmptyDisk(0)
+		g.restartWithEmptyDisk(4)
+		Eventually(g.isRepaired(2), eventuallyTimeout).Should(BeTrue())
 	})
 
-	// Guards against a member that was cut off and answers with an old version.
-	It("answers no read beside members that are gone", func() {
-		c := newSelfManagedGroup()
-		c.put(1, 0)
-		Eventually(c.isRepaired(1), eventuallyTimeout).Should(BeTrue())
-		for _, m := range c.members[1:4] {
+	// Guards against a member that is cut off and answers reads with an old version.
+	It("answers no read after the quorum is lost", func() {
+		g := newSelfManagedGroup()
+		g.put(1, 0)
+		Eventually(g.isRepaired(1), eventuallyTimeout).Should(BeTrue())
+		for _, m := range g.members[1:4] {
 			m.Kill()
 		}
 		Eventually(func() error {
 			ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 			defer cancel()
-			_, _, err := c.members[0].Latest(ctx)
+			_, _, err := g.members[0].Latest(ctx)
 			return err
 		}, eventuallyTimeout).Should(MatchError(operator.ErrNoQuorum))
 	})
--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -14,25 +14,25 @@
 	"sapphiregate.example/sapphiregate/state/wal"
 )
 
-// Founder is a member of a new group.
+// Founder is one of the first members of a new group.
 type Founder struct {
 	Address string
-	// Zone is asked of the founder if it is empty.
+	// Zone is the founder's availability zone. If it is empty, the founder is asked for it.
 	Zone string
-	// Learner marks a member that replicates without a vote, such as the source of a zone beyond the voters' zones.
+	// Learner marks a member that replicates without a vote, such as the member in a zone that has no voter.
 	Learner bool
 }
 
 const (
 	identifyTimeout     = time.Second
 	bootstrapRetryDelay = 200 * time.Millisecond
-	// foundingIndex and foundingTerm place the first snapshot, which holds only the membership and is the same on all
-	// founders.
+	// foundingIndex and foundingTerm are those of the first snapshot, which holds only the first membership and is the
+	// same on all founders.
 	foundingIndex = 1
 	foundingTerm  = 1
 )
 
-// hasGroupState reports whether a folder belongs to a member of a group.
+// hasGroupState reports whether a recovered folder holds state of a group, rather than only a new identity.
 func hasGroupState(recovered wal.Recovered) bool {
 	return recovered.Snapshot.Index > 0 || len(recovered.Entries) > 0
 }
@@ -42,10 +42,13 @@
 	return snapshot.Index == foundingIndex && snapshot.Term == foundingTerm
 }
 
-// formGroup makes the first membership of a group durable. If another founder formed the group already, this replica adopts
-// the first membership if that lists its identity: it then holds nothing that could be lost, and the founders that were
-// first may need its vote. Otherwise its folder is new, it starts empty and an operator must add it. A wiped member can
-// therefore neither vote under its old identity nor formGroup a second group.
+// formGroup asks the other founders for their identities and saves the first membership of the group as its first
+// snapshot. It repeats this until all founders have answered or one says that the group exists.
+//
+// If the group exists and its first membership lists this replica, the replica adopts that membership: its folder is
+// empty, so nothing can be lost, and the founders that formed the group earlier may need its vote. If the membership does
+// not list this replica, its old folder was wiped; it starts empty and must be added. A wiped member can therefore
+// neither vote under its old identity nor form a second group.
 func (m *Member) formGroup(r *replica, recovered *wal.Recovered) error {
 	for {
 		membership, complete, exists := m.identifyFounders(m.ctx, r)
@@ -69,8 +72,9 @@
 	}
 }
 
-// identifyFounders gathers the first membership. If the group exists, it returns the membership that a founder reports,
-// which is empty if the founder no longer knows it.
+// identifyFounders asks all founders for their identities and returns the first membership; complete reports whether all
+// have answered. If a founder says that the group exists, it returns the first membership that this founder reports,
+// which is empty if the founder no longer has it.
 func (m *Member) identifyFounders(
 	ctx context.Context, r *replica,
 ) (membership raft.Membership, complete, exists bool) {
@@ -110,7 +114,8 @@
 	return m.pool.Identify(ctx, address, &protocol.IdentifyRequest{})
 }
 
-// Identify tells other members who this one is, and notes a process that asks to join the group.
+// Identify returns the identities of this member in its groups. If the request carries an identity, the sender asks to
+// join: the reply then describes the registry's group as well.
 func (m *Member) Identify(ctx context.Context, request *protocol.IdentifyRequest) (*protocol.IdentifyReply, error) {
 	reply := &protocol.IdentifyReply{Admin: m.options.AdvertiseAdmin, Zone: m.options.Zone}
 	if request.ID != "" {
@@ -134,7 +139,7 @@
 	m.formedGroups[group] = true
 }
 
-// markFounded notes the first membership of a group that this replica belongs to.
+// markFounded records that a group is formed, and its first membership.
 func (m *Member) markFounded(group uint32, membership raft.Membership) {
 	m.formedMu.Lock()
 	defer m.formedMu.Unlock()
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -16,8 +16,8 @@
 )
 
 var _ = Describe("a group of three members", func() {
-	// Guards against a wiped member that votes under its old name or forms a second group, which would lose approvals,
-	// and against a repair that leaves the group with one copy.
+	// Guards against a wiped member that votes under its old identity or forms a second group, either of which would lose
+	// approvals, and against a repair after which only one member holds the state.
 	It("repairs a wiped member without losing an approval", func() {
 		g := formGroup("a", "b", "c")
 		_, followers := g.leader()
@@ -32,7 +32,7 @@
 		Expect(before).NotTo(ContainElement(g.dump(wiped).ID))
 		Expect(g.memberIDs(other)).To(Equal(before))
 
-		// Without its old vote, the leader alone is no quorum.
+		// The wiped member has no vote, so that the leader alone is no quorum.
 		g.kill(other)
 		g.expectNoApproval(wiped, 3)
 		leads, _ := g.Leader()
@@ -64,9 +64,10 @@
 		Expect(again.Index).To(Equal(second.Index))
 	})
 
-	// Guards against two bundles approved under one version, against a loser that does not learn who won, and against a
-	// resent approval that is applied twice or refused after its answer was lost with the leader.
-	It("lets one of two racing operators win, and keeps the decision over failures and restarts", func() {
+	// Guards against two bundles approved under one version, against a losing operator who is not told the winner, and
+	// against an approval that is applied twice or refused when it is sent again, after its response was lost with the
+	// leader.
+	It("accepts one of two concurrent approvals of a version and keeps it through failures and restarts", func() {
 		g := formGroup("c", "b", "a")
 		leader, followers := g.leader()
 		names := []string{"ana", "ben"}
@@ -100,7 +101,7 @@
 		}
 		g.kill(leader)
 		for i, id := range followers {
-			// The second resend comes under another request identifier, as from an operator who starts over.
+			// The second time, the approval has another request identifier, as from an operator who runs the command again.
 			if i > 0 {
 				requests[winner].RequestID = operator.NewRequestID()
 			}
@@ -109,7 +110,7 @@
 			Expect(again).To(Equal(decisions[winner]))
 		}
 
-		// Guards against acknowledged state that was never synced.
+		// Kills all members at once: state that was acknowledged but never synced would be lost.
 		answer, err := g.client(followers[0], maxClientRounds).Members(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		var addresses []string
@@ -136,8 +137,8 @@
 		Expect(string(kept.Response.Body)).To(Equal("dan 3"))
 	})
 
-	// Guards against a member that is cut off and goes on to serve its state as current, or accepts approvals.
-	DescribeTable("serves no fresh state without a quorum", func(leads bool) {
+	// Guards against a member that is cut off and still reports its state as current or accepts approvals.
+	DescribeTable("reports its state as outdated without a quorum", func(leads bool) {
 		g := formGroup("b", "c", "a")
 		left, followers := g.leader()
 		lost := followers
@@ -160,7 +161,7 @@
 			}, eventuallyTimeout).Should(Succeed())
 		}
 		g.expectNoApproval(left, 2)
-		// A member that starts without a quorum was never told what is current.
+		// A member that starts without a quorum cannot know the current state.
 		g.kill(left)
 		g.start(left)
 		Eventually(rollout, eventuallyTimeout).Should(Equal(operator.RolloutUnknown))
@@ -176,7 +177,7 @@
 
 })
 
-// expectNoApproval expects that a member accepts no approval now.
+// expectNoApproval expects that an approval through a member does not succeed.
 func (g *group) expectNoApproval(id string, version uint64) {
 	_, err := g.clientWithTimeout(id, 1, 300*time.Millisecond).Approve(context.Background(), g.request("ana", version, config("desk")))
 	Expect(errors.IsAny(err, operator.ErrNoQuorum, operator.ErrNotLeader, operator.ErrOutcomeUnknown)).
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Voters lists the identities of the voting members of the registry's log as this member knows them.
+// Voters lists the identities of the voters of the registry's group as this member knows them.
 func (m *Member) Voters() (ids []string) {
 	if m.waitRunning(context.Background()) != nil {
 		return nil
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -53,7 +53,7 @@
 	Expect(violations).To(BeEmpty())
 })
 
-// group is three members with real ports and folders.
+// group runs three members with real ports and folders.
 type group struct {
 	*local.Deployment
 	operators map[string]ed25519.PrivateKey
@@ -76,12 +76,12 @@
 	return g
 }
 
-// formGroup starts the members of a new group in the given order. It guards against founders that form different groups,
-// or none, depending on who starts first.
+// formGroup starts the members of a new group in the given order. It checks that the founders form one group whatever
+// their order is.
 func formGroup(order ...string) *group {
 	g := newGroup()
 	g.start(order[:2]...)
-	// Two founders cannot know the third one's identity, so no membership may exist yet.
+	// The identity of the third founder is not known yet, so that the first two must not form a group.
 	_, early := g.Leader()
 	Expect(early).To(BeFalse())
 	g.start(order[2])
@@ -116,13 +116,13 @@
 	}
 }
 
-// leader waits until one of the members leads, and returns it with the others.
+// leader waits until one of the members leads, and returns it and the other members.
 func (g *group) leader() (leader string, followers []string) {
 	Eventually(func() (ok bool) { leader, ok = g.Leader(); return ok }, eventuallyTimeout).Should(BeTrue())
 	return leader, slices.DeleteFunc(g.Members(), func(id string) bool { return id == leader })
 }
 
-// client asks one member again and again, as a patient operator does; rounds bounds it.
+// client returns a client that sends requests to one member, at most rounds times each.
 func (g *group) client(id string, rounds int) *operator.Client {
 	return g.clientWithTimeout(id, rounds, 2*time.Second)
 }
@@ -138,7 +138,7 @@
 
 const maxClientRounds = 10
 
-// config returns a bundle that differs by its service's name.
+// config returns a bundle that differs by the name of its service.
 func config(service string) *bundle.Bundle {
 	return &bundle.Bundle{Services: []bundle.Service{{Name: service}}}
 }
@@ -185,7 +185,7 @@
 	return 0
 }
 
-// memberIDs returns the identities of the membership that a member holds.
+// memberIDs returns the sorted identities of the membership of the registry's group as one member knows it.
 func (g *group) memberIDs(id string) (ids []string) {
 	dump := g.dump(id)
 	if len(dump.Groups) == 0 {
--- a/control/latestbundle.go
+++ b/control/latestbundle.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// maxReadConfirmationAge is how old the confirmation of a member's state may be when it answers a read. It is half of the 2 s
-	// within which an approved version comes into force everywhere.
+	// maxReadConfirmationAge is the longest time since a quorum confirmed this member's state for which the member answers
+	// reads. It is half of the 2 s within which an approved version comes into force everywhere.
 	maxReadConfirmationAge = time.Second
-	// readRetryDelay is the time between two looks at a state that is not confirmed yet; heartbeats confirm it.
+	// readRetryDelay is the time between two checks of whether the state is confirmed; heartbeats of the log confirm it.
 	readRetryDelay = 20 * time.Millisecond
 )
 
-// PutRequest is a bundle that comes into force if the version it builds on is still the latest.
+// PutRequest asks for a bundle to come into force if the version that it is based on is still the latest.
 type PutRequest struct {
 	Version uint64
-	// Base is the version that must be the latest; 0 means that none is approved yet.
+	// Base is the version that must be the latest; 0 means that no version may be approved yet.
 	Base     uint64
 	Operator string
 	Bundle   *bundle.Bundle
 }
 
-// Put stages and approves a bundle in one step. It is for operators that the keyring trusts without a signature. The
-// same put sent again has the result of the first one.
+// Put stages and approves a bundle in one step. It is for operators that the keyring trusts without a signature. A
+// request that is sent again gets the result of the first one.
 func (m *Member) Put(ctx context.Context, put PutRequest) (operator.Decision, error) {
 	bundle.Canonicalize(put.Bundle)
 	update, err := bundle.Complete(put.Bundle)
@@ -47,15 +47,15 @@
 	return operatorBackend{member: m}.stage(ctx, registry.Command{Stage: &stage, Approve: &approval})
 }
 
-// Latest returns the latest approved bundle. It waits until a quorum has confirmed this member's state, and fails with
-// operator.ErrNoQuorum when the context ends before.
+// Latest returns the latest approved version and its bundle; they are 0 and nil if none is approved. It waits until a
+// quorum has confirmed this member's state, and fails with operator.ErrNoQuorum if the context ends first.
 func (m *Member) Latest(ctx context.Context) (uint64, *bundle.Bundle, error) {
 	b := operatorBackend{member: m}
 	started := time.Now()
 	for {
 		var version uint64
 		var latest *bundle.Bundle
-		var found error
+		var readErr error
 		fresh := false
 		err := b.query(ctx, func(now time.Time) {
 			age, confirmed := m.replicas[registryGroup].raft.ConfirmedAge(now)
@@ -64,7 +64,7 @@
 			}
 			if approval := m.registry.registry.State().Latest; approval != nil {
 				version = approval.Version
-				latest, found = m.registry.registry.Store().Bundle(approval.Digest)
+				latest, readErr = m.registry.registry.Store().Bundle(approval.Digest)
 			}
 		})
 		switch {
@@ -72,7 +72,7 @@
 			return 0, nil, &operator.Error{Kind: operator.ErrNoQuorum, Message: "the state is not confirmed by a quorum"}
 		case fresh:
 			m.metrics.readTime.Observe(time.Since(started).Seconds())
-			return version, latest, errors.Wrap(found, "control: read the latest bundle")
+			return version, latest, errors.Wrap(readErr, "control: read the latest bundle")
 		}
 		sleep(ctx, readRetryDelay)
 	}
--- a/control/member.go
+++ b/control/member.go
@@ -1,6 +1,6 @@
-// Package control is a control member: an instance with a disk that holds a replica of each log, applies it to the
-// registry or the ledger, and serves its zone's nodes with the configuration. One goroutine owns the control state;
-// one for each log writes to the disk.
+// Package control implements a control member: the process on an instance with a disk that holds a replica of each
+// replicated log, applies it to the registry or the ledger, and distributes the configuration to the nodes of its zone.
+// One goroutine, the control goroutine, owns the state; one further goroutine for each log writes to the disk.
 package control
 
 import (
@@ -30,32 +30,33 @@
 	"sapphiregate.example/sapphiregate/transport/rpc"
 )
 
-// Options sets up a control member.
+// Options are the settings of a control member.
 type Options struct {
-	// Instance names the machine in logs.
+	// Instance is the name of the instance in logs and dumps.
 	Instance string
 	Zone     string
-	// Mesh and Admin are open listeners; the member closes them.
+	// Mesh listens for nodes and other members, Admin for operators. The member closes both.
 	Mesh  net.Listener
 	Admin net.Listener
-	// Advertise and AdvertiseAdmin are the addresses that others use; empty takes the listeners' addresses.
+	// Advertise and AdvertiseAdmin are the addresses under which others reach Mesh and Admin. If they are empty, the
+	// addresses of the listeners are used.
 	Advertise      string
 	AdvertiseAdmin string
-	// Founders lists the members of a new group, this one included. It is used only while the data folder is new. A
-	// member that is added later has none.
+	// Founders lists the first members of a new group, this one included. It is used only while the data folder is new,
+	// and is empty for a member that is added later.
 	Founders []Founder
-	// RegistryFolder and Ledgers are the folders of the logs. All members have the same number of ledger groups.
+	// RegistryFolder and LedgerFolders hold the logs, one folder each. All members have the same number of ledger groups.
 	RegistryFolder disk.FS
 	LedgerFolders  []disk.FS
 	Keys           *bundle.Keyring
 	// Voters is the number of members that vote when nothing has failed. If it is set, the leader replaces members that
-	// lost their disk or are gone by processes that ask to join; 0 leaves that to operators.
+	// have lost their disk or do not respond by processes that ask to join. 0 leaves that to operators.
 	Voters int
-	// Seeds returns mesh addresses of processes that may know the group. A process that belongs to no group asks them.
-	// It is used if Voters is set.
+	// Seeds returns mesh addresses of processes that may know the group. A process that belongs to no group sends its join
+	// requests to them. It is used only if Voters is set.
 	Seeds    func() []string
 	Identity *rpc.Identity
-	// Dialer opens connections for configuration, LedgerDialer those for the ledger; nil dials TCP.
+	// Dialer opens connections for the registry and the configuration, LedgerDialer those for the ledger; nil dials TCP.
 	Dialer       rpc.Dialer
 	LedgerDialer rpc.Dialer
 	Logger       zerolog.Logger
@@ -73,14 +74,15 @@
 const (
 	defaultSnapshotEntries = 10_000
 	readHeaderTimeout      = 10 * time.Second
-	// adminShutdownTimeout bounds the wait for streams that do not end by themselves.
+	// adminShutdownTimeout bounds the wait for open requests of operators when the member stops.
 	adminShutdownTimeout = 200 * time.Millisecond
-	// transferTimeout lets a stopping leader hand over, so that a planned stop costs no election timeout.
+	// transferTimeout bounds the transfer of the leadership before a planned stop. Without a transfer, the others would
+	// have no leader for an election timeout.
 	transferTimeout      = time.Second
 	transferPollInterval = 20 * time.Millisecond
 )
 
-// registryGroup is the group of the registry's log.
+// registryGroup is the group of the registry's log; the groups of the ledger follow it.
 const registryGroup = 0
 
 // Member is one running control member.
@@ -104,22 +106,25 @@
 	// ready is closed once the control goroutine runs.
 	ready chan struct{}
 
+	// formedMu guards formedGroups and founding.
 	formedMu     sync.Mutex
 	formedGroups map[uint32]bool
-	// founding holds the first memberships of the groups whose snapshot is still that of their formation.
+	// founding holds the first membership of each group that this process has formed, or whose newest snapshot was still
+	// the first one when the process started.
 	founding map[uint32]raft.Membership
 
-	// replicas are indexed by group. What they hold belongs to the control goroutine.
+	// replicas is indexed by group. Only the control goroutine uses the content of the replicas.
 	replicas []*replica
 	registry *registryStateMachine
 	ledgers  []*ledgerStateMachine
-	// candidates belongs to the control goroutine.
+	// candidates lists the processes that ask to join. Only the control goroutine uses it.
 	candidates membership.Candidates
-	// removed is closed once this process has learned that its identity was removed from the group.
+	// removed is closed once this member has learned that the group removed its identity.
 	removed chan struct{}
 }
 
-// New opens the data folders and forms or rejoins the groups in the background.
+// New opens the data folders and then forms or rejoins the groups in the background. It returns ErrStorage if a folder
+// cannot be read.
 func New(options Options) (*Member, error) {
 	if options.SnapshotEntries == 0 {
 		options.SnapshotEntries = defaultSnapshotEntries
@@ -148,6 +153,7 @@
 	return m, nil
 }
 
+// connect creates the connection pools and the mesh server.
 func (m *Member) connect() {
 	var transport credentials.TransportCredentials
 	if m.options.Identity != nil {
@@ -158,7 +164,7 @@
 	m.mesh = rpc.NewServer(m.options.Mesh, transport)
 }
 
-// openReplicas reads the folders of all logs.
+// openReplicas creates the replicas and reads their folders.
 func (m *Member) openReplicas() ([]wal.Recovered, error) {
 	m.registry = newRegistryStateMachine(m.options.Keys)
 	registryReplica := m.newReplica(registryGroup, m.registry, m.pool)
@@ -205,7 +211,7 @@
 	go m.Kill()
 }
 
-// Start begins to serve.
+// Start begins to serve the mesh and operators.
 func (m *Member) Start() {
 	m.logger.Info().Str("member", m.ID()).Str("mesh", m.options.Advertise).Msg("member starts")
 	m.tasks.Go(func() {
@@ -221,7 +227,7 @@
 	})
 }
 
-// serveAdmin serves operators, who need a certificate of an accepted authority unless TLS is off.
+// serveAdmin serves operators. With TLS, they need a certificate of an accepted authority.
 func (m *Member) serveAdmin() error {
 	if m.options.Identity == nil {
 		return m.admin.Serve(m.options.Admin)
@@ -264,6 +270,7 @@
 	}
 }
 
+// startReplicas creates the parts that the control goroutine owns and starts the logs from their recovered state.
 func (m *Member) startReplicas(recovered []wal.Recovered) error {
 	now := clock.Now()
 	incarnation := uint64(time.Now().UnixNano())
@@ -289,7 +296,8 @@
 	return nil
 }
 
-// tick lets time pass for the logs and hands the registry's freshness to the distribution tree.
+// tick advances the time of the logs, lets the leader propose membership changes, and tells the distribution tree how
+// old the confirmed state of the registry is.
 func (m *Member) tick(now time.Time) {
 	for _, r := range m.replicas {
 		r.raft.Tick(now)
@@ -300,20 +308,21 @@
 	}
 }
 
+// processReady processes the pending batches of all logs.
 func (m *Member) processReady(now time.Time) {
 	for _, r := range m.replicas {
 		r.processReady(now)
 	}
 }
 
-// publishSource hands the registry's state to the distribution tree.
+// publishSource passes the registry's state to the distribution tree.
 func (m *Member) publishSource(now time.Time) {
 	state := m.registry.registry.State()
 	source := relay.Source{Latest: state.Latest, Stopped: state.Stopped, Held: state.StoredBundles}
 	m.peer.SetSource(now, source, m.registry.registry.Store())
 }
 
-// publishMembers tells the distribution tree who the members are.
+// publishMembers passes the membership of the registry's group to the distribution tree.
 func (m *Member) publishMembers(now time.Time, current raft.Membership) {
 	infos := make([]relay.MemberInfo, 0, len(current.Members))
 	for _, member := range current.Members {
@@ -328,7 +337,8 @@
 	}
 }
 
-// waitRunning waits until the control goroutine runs.
+// waitRunning waits until the control goroutine runs. It returns ErrStopped if the member stops first, and ErrBootstrap
+// if ctx ends first.
 func (m *Member) waitRunning(ctx context.Context) error {
 	select {
 	case <-m.ready:
@@ -340,7 +350,7 @@
 	}
 }
 
-// Step receives log messages of other members.
+// Step receives Raft messages from the member at an address.
 func (m *Member) Step(address string, frame *protocol.StepFrame) {
 	if int(frame.Group) >= len(m.replicas) || m.waitRunning(m.ctx) != nil {
 		return
@@ -349,7 +359,7 @@
 	m.host.Post(func(now time.Time) { m.replicas[frame.Group].step(now, address, frame.Messages) })
 }
 
-// replicaFor returns the group that a request is for.
+// replicaFor returns the replica of the group that a request is for.
 func (m *Member) replicaFor(request *protocol.ProposeRequest) (*replica, error) {
 	switch {
 	case request.Target == protocol.TargetRegistry:
@@ -363,7 +373,8 @@
 	}
 }
 
-// Propose commits a command and returns its result once it is applied.
+// Propose proposes a command and returns its result once it is applied. Refusals and unknown outcomes are statuses of the
+// reply; the error is always nil.
 func (m *Member) Propose(ctx context.Context, request *protocol.ProposeRequest) (*protocol.ProposeReply, error) {
 	if err := m.waitRunning(ctx); err != nil {
 		return &protocol.ProposeReply{Status: protocol.ProposeNotLeader, Detail: err.Error()}, nil
@@ -395,7 +406,7 @@
 	return reply, nil
 }
 
-// Follow serves the nodes that follow this member.
+// Follow serves a node or member that follows this member in the distribution tree.
 func (m *Member) Follow(stream rpc.FollowServerStream) error {
 	if err := m.waitRunning(stream.Context()); err != nil {
 		return err
@@ -403,13 +414,14 @@
 	return m.host.Follow(stream)
 }
 
-// Stopped returns a context that ends when the member stops, also by itself after a failure of its disk.
+// Stopped returns a context that ends when the member stops, whether it was told to or its disk failed.
 func (m *Member) Stopped() context.Context { return m.ctx }
 
-// ID returns the identity of the registry's folder, which names the member.
+// ID returns the identity of the member, which is that of its registry folder.
 func (m *Member) ID() string { return string(m.replicas[registryGroup].id) }
 
-// Leads reports whether this member takes itself for the leader of the registry's log, and its term.
+// Leads returns the term of the registry's log and whether this member acts as its leader. A leader that was cut off may
+// not know yet that there is a newer one.
 func (m *Member) Leads() (term uint64, leads bool) {
 	select {
 	case <-m.ready:
@@ -423,7 +435,7 @@
 	return term, leads
 }
 
-// Stop hands the leadership over and ends the member.
+// Stop transfers the leadership and stops the member.
 func (m *Member) Stop(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
@@ -437,7 +449,7 @@
 	return nil
 }
 
-// transferLeadership transfers the leadership of all logs.
+// transferLeadership transfers the leadership of all logs and waits until this member leads none, or ctx ends.
 func (m *Member) transferLeadership(ctx context.Context) {
 	for ctx.Err() == nil {
 		leading := false
@@ -453,6 +465,7 @@
 	}
 }
 
+// sleep waits for a duration or until ctx ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -462,7 +475,7 @@
 	}
 }
 
-// Kill ends the member at once, as a crash would.
+// Kill stops the member at once, without a transfer of the leadership, as a crash would.
 func (m *Member) Kill() {
 	m.killOnce.Do(func() {
 		m.cancel()
--- a/control/membership.go
+++ b/control/membership.go
@@ -11,11 +11,11 @@
 	"sapphiregate.example/sapphiregate/protocol/operator"
 )
 
-// changeRetryDelay is the wait before a change that must wait is tried again.
+// changeRetryDelay is the delay before a membership change that is not committed yet is proposed again.
 const changeRetryDelay = 50 * time.Millisecond
 
-// proposeMembership appends a membership change, unless it is already in effect. A reply of ProposeUncertain means that
-// the change is under way or must wait: ask again.
+// proposeMembership appends a membership change to the log unless it is already in effect. The status ProposeUncertain
+// means that the change is not committed yet or cannot be proposed yet; the caller repeats the request.
 func (r *replica) proposeMembership(now time.Time, command []byte) *protocol.ProposeReply {
 	var change raft.MembershipChange
 	if err := protocol.Unmarshal(command, &change); err != nil {
@@ -35,7 +35,7 @@
 	return r.uncertainReply()
 }
 
-// inEffect reports whether a membership already shows a change.
+// inEffect reports whether a membership already contains a change.
 func inEffect(membership raft.Membership, change raft.MembershipChange) bool {
 	member, ok := membership.Find(change.Member.ID)
 	switch change.Kind {
@@ -73,10 +73,10 @@
 		}
 	}
 	if address == "" {
-		// The request was sent again after the change took effect.
+		// The member was removed already, by an earlier copy of this request.
 		return members, nil
 	}
-	// The registry comes last: until then the operators' list shows the member, so that a request that is cut short
+	// The registry comes last: until then the list of members shows the member, so that a request that was interrupted
 	// can be sent again.
 	for group := len(b.member.replicas) - 1; group >= 0; group-- {
 		if err := b.removeFromGroup(ctx, uint32(group), address); err != nil {
@@ -86,8 +86,8 @@
 	return b.Members(ctx)
 }
 
-// ReplaceMember adds a member, waits until it holds and has synced everything that is committed, and only then removes
-// the old one: a second failure right after the repair loses nothing.
+// ReplaceMember adds a member and removes the old one only once the new one has durably stored everything that is
+// committed. A second failure right after the repair therefore loses nothing.
 func (b operatorBackend) ReplaceMember(ctx context.Context, r operator.ReplaceMemberRequest) (operator.MembersAnswer, error) {
 	if err := b.addMember(ctx, r.New, r.Address, r.Zone, false); err != nil {
 		return operator.MembersAnswer{}, err
@@ -95,13 +95,15 @@
 	return b.RemoveMember(ctx, operator.RemoveMemberRequest{RequestID: r.RequestID, ID: r.Old})
 }
 
+// addMember adds the member at an address as a learner to all groups, and then promotes it in all of them unless it is to
+// stay a learner.
 func (b operatorBackend) addMember(ctx context.Context, id, address, zone string, learner bool) error {
 	reply, err := b.member.identify(ctx, address)
 	if err != nil {
-		return &operator.Error{Kind: operator.ErrBadRequest, Message: "the new member does not answer: " + err.Error()}
+		return &operator.Error{Kind: operator.ErrBadRequest, Message: "the new member does not respond: " + err.Error()}
 	}
 	if len(reply.Groups) != len(b.member.replicas) || reply.Groups[registryGroup].ID != id {
-		return &operator.Error{Kind: operator.ErrBadRequest, Message: "another member answers at " + address}
+		return &operator.Error{Kind: operator.ErrBadRequest, Message: "the process at " + address + " is not member " + id}
 	}
 	for group, described := range reply.Groups {
 		member := raft.Member{ID: raft.MemberID(described.ID), Address: address, Zone: zone, Learner: true}
@@ -124,7 +126,7 @@
 	return nil
 }
 
-// removeFromGroup removes the member with an address from one group. Its identity differs between groups.
+// removeFromGroup removes the member at an address from one group. A member has another identity in each group.
 func (b operatorBackend) removeFromGroup(ctx context.Context, group uint32, address string) error {
 	var id raft.MemberID
 	err := b.query(ctx, func(time.Time) {
@@ -140,8 +142,8 @@
 	return b.commitChange(ctx, group, raft.MembershipChange{Kind: raft.ChangeRemove, Member: raft.Member{ID: id}})
 }
 
-// commitChange commits one membership commitChange, through the leader of the group. A commitChange that is already in effect succeeds,
-// so that requests can be sent again.
+// commitChange commits one membership change through the leader of the group. A change that is already in effect
+// succeeds, so that requests can be sent again.
 func (b operatorBackend) commitChange(ctx context.Context, group uint32, change raft.MembershipChange) error {
 	data, err := protocol.Marshal(change)
 	if err != nil {
@@ -165,6 +167,7 @@
 	return &operator.Error{Kind: operator.ErrMembershipBusy, Message: "the change was not committed in time"}
 }
 
+// proposeTo sends a proposal to the leader at a mesh address.
 func (b operatorBackend) proposeTo(
 	ctx context.Context, leader string, request *protocol.ProposeRequest,
 ) (*protocol.ProposeReply, error) {
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -12,7 +12,7 @@
 	"sapphiregate.example/sapphiregate/protocol"
 )
 
-// scrapeTimeout bounds the wait for the control goroutine when metrics are read. A scraper waits for 10 s as a rule.
+// scrapeTimeout bounds the wait for the control goroutine when metrics are read. Scrapers usually time out after 10 s.
 const scrapeTimeout = 5 * time.Second
 
 // metrics are the counters and histograms of one member; docs/observability.md describes each.
@@ -58,7 +58,7 @@
 	partsDesc      = desc("relay_parts_total", "Bundle transfers.", "direction")
 )
 
-// stateCollector reads the member's state when it is scraped.
+// stateCollector reads the metrics of the member's state at each scrape.
 type stateCollector struct {
 	member *Member
 }
--- a/control/metrics_test.go
+++ b/control/metrics_test.go
@@ -11,8 +11,8 @@
 )
 
 var _ = Describe("metrics of a member", func() {
-	// Guards against a scrape that fails, or that does not show who leads and how old its state is.
-	It("show the log, the age of the confirmation and the time of proposals", func() {
+	// Guards against a scrape that fails or lacks the leader, the age of the confirmed state or the proposals.
+	It("show the log, the age of the confirmed state and the time of proposals", func() {
 		g := formGroup("a", "b", "c")
 		leader, _ := g.leader()
 		g.approve(leader, 1, config("desk"))
--- a/control/operatorapi.go
+++ b/control/operatorapi.go
@@ -18,19 +18,20 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// operatorBackend serves operators' requests on one member.
+// operatorBackend serves the operator API on one member.
 type operatorBackend struct{ member *Member }
 
 var _ operator.Backend = operatorBackend{}
 
-// Stage brings a bundle's parts into the registry. What this member's registry holds already is left out before the
-// request crosses zones to the leader; if the leader lacks the base of that difference, the whole bundle is sent.
+// Stage adds a bundle to the registry. To save traffic between zones, the request to the leader leaves out the parts that
+// this member's registry has already.
 func (b operatorBackend) Stage(ctx context.Context, r operator.StageRequest) (operator.Decision, error) {
 	stage := registry.Stage{Version: r.Version, Digest: r.Digest, Operator: r.Operator, Update: r.Update}
 	return b.stage(ctx, registry.Command{RequestID: r.RequestID, Stage: &stage})
 }
 
-// stage commits a command with a complete update.
+// stage commits a command whose stage has a complete update. It first sends the difference to the latest bundle that
+// this member knows; if the leader no longer has that bundle, it sends the complete update.
 func (b operatorBackend) stage(ctx context.Context, full registry.Command) (operator.Decision, error) {
 	reduced := full
 	err := b.query(ctx, func(time.Time) {
@@ -48,7 +49,7 @@
 	return decision, err
 }
 
-// Approve brings a staged bundle into force.
+// Approve makes a staged bundle the latest approved one.
 func (b operatorBackend) Approve(ctx context.Context, r operator.ApproveRequest) (operator.Decision, error) {
 	return b.commitCommand(ctx, registry.Command{RequestID: r.RequestID, Approve: &r.Approval})
 }
@@ -63,7 +64,7 @@
 	return b.commitCommand(ctx, registry.Command{RequestID: r.RequestID, Stop: &r.Stop})
 }
 
-// commitCommand commits a registry command, through the leader if this member is not the one.
+// commitCommand commits a registry command, through the leader if this member does not lead.
 func (b operatorBackend) commitCommand(ctx context.Context, command registry.Command) (operator.Decision, error) {
 	data, err := registry.EncodeCommand(command)
 	if err != nil {
@@ -96,14 +97,15 @@
 	}
 }
 
-// notLeader names the operator API of the leader, which only the leader itself knows.
+// notLeader returns an error that names the leader's address for operators. It asks the leader at its mesh address for
+// it, as no other member knows it.
 func (b operatorBackend) notLeader(ctx context.Context, mesh string) error {
 	if mesh == "" {
 		return &operator.Error{Kind: operator.ErrNoQuorum, Message: "no leader is known"}
 	}
 	reply, err := b.member.identify(ctx, mesh)
 	if err != nil {
-		return &operator.Error{Kind: operator.ErrNotLeader, Message: "the leader does not answer"}
+		return &operator.Error{Kind: operator.ErrNotLeader, Message: "the leader at " + mesh + " does not respond"}
 	}
 	return &operator.Error{Kind: operator.ErrNotLeader, Leader: reply.Admin}
 }
@@ -132,7 +134,7 @@
 		status.Rollout = operator.RolloutOfAll(latestVersion(state), state.Stopped, status.Zones)
 	})
 	if !operator.Fresh(status.ConfirmedAgeMs) {
-		// A member that was cut off cannot know the present state.
+		// A member that is cut off does not know the current state.
 		status.Rollout = operator.RolloutUnknown
 	}
 	return status, err
@@ -167,7 +169,7 @@
 	return state.Latest.Version
 }
 
-// History lists the decisions, newest first.
+// History lists the decisions of operators, newest first.
 func (b operatorBackend) History(ctx context.Context, r operator.HistoryRequest) (operator.HistoryAnswer, error) {
 	limit := r.Limit
 	if limit <= 0 {
@@ -180,14 +182,14 @@
 	return answer, err
 }
 
-// Members lists the control members.
+// Members lists the control members. A follower refers to the leader, if the leader responds.
 func (b operatorBackend) Members(ctx context.Context) (operator.MembersAnswer, error) {
 	var status raft.Status
 	if err := b.query(ctx, func(time.Time) { status = b.member.replicas[registryGroup].raft.Status() }); err != nil {
 		return operator.MembersAnswer{}, err
 	}
 	if status.Role != raft.RoleLeader {
-		// Only the leader knows how far the others are; without one, this member's own view is better than none.
+		// Only the leader knows the progress of the others. Without a leader, this member lists the membership alone.
 		if leader, ok := status.Membership.Find(status.Leader); ok {
 			if reply, err := b.member.identify(ctx, leader.Address); err == nil {
 				return operator.MembersAnswer{}, &operator.Error{Kind: operator.ErrNotLeader, Leader: reply.Admin}
@@ -218,7 +220,7 @@
 	quarantine.Allowed: "allowed", quarantine.Exclusive: "isolated", quarantine.Refused: "quarantined",
 }
 
-// Quarantine lists suspect and quarantined requests.
+// Quarantine lists the requests that crashed upstreams, with the verdict on each.
 func (b operatorBackend) Quarantine(ctx context.Context) (operator.QuarantineAnswer, error) {
 	if err := b.member.waitRunning(ctx); err != nil {
 		return operator.QuarantineAnswer{}, &operator.Error{Kind: operator.ErrNoQuorum, Message: err.Error()}
@@ -246,7 +248,7 @@
 		raw, err := hex.DecodeString(text)
 		if err != nil || len(raw) != len(quarantine.Fingerprint{}) {
 			return operator.ClearQuarantineAnswer{}, &operator.Error{
-				Kind: operator.ErrBadRequest, Message: "a fingerprint has 32 hexadecimal digits",
+				Kind: operator.ErrBadRequest, Message: "a fingerprint must have 32 hexadecimal digits",
 			}
 		}
 		fingerprints = append(fingerprints, quarantine.Fingerprint(raw))
@@ -260,7 +262,7 @@
 	return operator.ClearQuarantineAnswer{Cleared: before - len(b.member.quarantine.Entries(now))}, nil
 }
 
-// Dump returns the member's whole state.
+// Dump returns the state dump of the member.
 func (b operatorBackend) Dump(ctx context.Context) (operator.DumpAnswer, error) {
 	dump, err := b.member.dump(ctx)
 	if err != nil {
--- a/control/rafttransport.go
+++ b/control/rafttransport.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// senderQueueLength bounds the messages that wait for one member. The log repeats what is dropped.
+	// senderQueueLength bounds the messages that are queued for one member. Raft sends dropped messages again.
 	senderQueueLength = 4096
-	// streamRetryDelay is the wait before a broken stream is opened again.
+	// streamRetryDelay is the delay before a broken stream is opened again.
 	streamRetryDelay = 50 * time.Millisecond
-	// maxFrameMessages bounds the messages of one frame.
 	maxFrameMessages = 64
-	// maxSenders bounds the goroutines for members that are not listed; a deployment has at most 19 members.
+	// maxSenders bounds the goroutines that messages from unlisted members can start. A deployment has at most 19 members.
 	maxSenders = 64
 )
 
-// raftTransport sends log messages to the other members. The control goroutine uses it; one goroutine per member sends.
+// raftTransport sends the Raft messages of one group to the other members. Only the control goroutine calls its methods;
+// one goroutine for each member sends.
 type raftTransport struct {
 	group   uint32
 	self    raft.MemberID
@@ -32,7 +32,7 @@
 	sending sync.WaitGroup
 }
 
-// sender carries messages to one address.
+// sender holds the messages that are queued for one member.
 type sender struct {
 	address string
 	queue   chan raft.Message
@@ -43,36 +43,36 @@
 	return &raftTransport{group: group, self: self, address: address, pool: pool, ctx: ctx, senders: make(map[raft.MemberID]*sender)}
 }
 
-// update starts and stops senders for a membership.
-func (p *raftTransport) update(membership raft.Membership) {
-	for id, current := range p.senders {
+// update stops the senders to members that have left or moved to another address, and starts those of new members.
+func (t *raftTransport) update(membership raft.Membership) {
+	for id, current := range t.senders {
 		member, ok := membership.Find(id)
 		if !ok || member.Address != current.address {
 			current.cancel()
-			delete(p.senders, id)
+			delete(t.senders, id)
 		}
 	}
 	for _, member := range membership.Members {
-		p.addSender(member.ID, member.Address)
+		t.addSender(member.ID, member.Address)
 	}
 }
 
-// addSender starts a sender to a member unless there is one. A replica without a membership, such as one that was just
-// added or that founds its group after the others, learns from the messages that it gets where to send its answers.
-func (p *raftTransport) addSender(id raft.MemberID, address string) {
-	if id == p.self || address == "" || p.senders[id] != nil {
+// addSender starts a sender to a member unless there is one. A replica that has no membership yet, such as one that was
+// just added or that forms its group after the other founders, needs it to reply to the messages that it receives.
+func (t *raftTransport) addSender(id raft.MemberID, address string) {
+	if id == t.self || address == "" || t.senders[id] != nil {
 		return
 	}
-	ctx, cancel := context.WithCancel(p.ctx)
+	ctx, cancel := context.WithCancel(t.ctx)
 	s := &sender{address: address, queue: make(chan raft.Message, senderQueueLength), cancel: cancel}
-	p.senders[id] = s
-	p.sending.Go(func() { p.run(ctx, s) })
+	t.senders[id] = s
+	t.sending.Go(func() { t.run(ctx, s) })
 }
 
-// send queues messages; it drops those of a member that does not keep up.
-func (p *raftTransport) send(messages []raft.Message) {
+// send queues messages. It drops messages to members without a sender or with a full queue.
+func (t *raftTransport) send(messages []raft.Message) {
 	for _, message := range messages {
-		s := p.senders[message.To]
+		s := t.senders[message.To]
 		if s == nil {
 			continue
 		}
@@ -83,10 +83,11 @@
 	}
 }
 
-func (p *raftTransport) run(ctx context.Context, s *sender) {
+// run opens a stream to the member again and again until ctx ends.
+func (t *raftTransport) run(ctx context.Context, s *sender) {
 	defer s.cancel()
 	for ctx.Err() == nil {
-		p.sendUntilBroken(ctx, s)
+		t.sendUntilBroken(ctx, s)
 		select {
 		case <-ctx.Done():
 		case <-time.After(streamRetryDelay):
@@ -94,15 +95,16 @@
 	}
 }
 
-// sendUntilBroken sends until the sendUntilBroken breaks.
-func (p *raftTransport) sendUntilBroken(ctx context.Context, s *sender) {
+// sendUntilBroken opens one stream and sends the queued messages until it breaks. The first frame carries the address of
+// this member, to which the receiver replies.
+func (t *raftTransport) sendUntilBroken(ctx context.Context, s *sender) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stream, err := p.pool.Step(ctx, s.address)
+	stream, err := t.pool.Step(ctx, s.address)
 	if err != nil {
 		return
 	}
-	address := p.address
+	address := t.address
 	for {
 		select {
 		case <-ctx.Done():
@@ -110,7 +112,7 @@
 		case <-stream.Context().Done():
 			return
 		case message := <-s.queue:
-			frame := s.nextFrame(p.group, message)
+			frame := s.nextFrame(t.group, message)
 			frame.Address, address = address, ""
 			if err := stream.Send(frame); err != nil {
 				return
@@ -119,7 +121,7 @@
 	}
 }
 
-// nextFrame gathers the messages that are already waiting.
+// nextFrame returns a frame of the first message and those that are queued behind it.
 func (s *sender) nextFrame(group uint32, first raft.Message) *protocol.StepFrame {
 	frame := &protocol.StepFrame{Group: group, Messages: []raft.Message{first}}
 	for len(frame.Messages) < maxFrameMessages {
--- a/control/replica.go
+++ b/control/replica.go
@@ -15,9 +15,9 @@
 	"sapphiregate.example/sapphiregate/transport/rpc"
 )
 
-// replica is this member's copy of one log with its state machine: group 0 is the registry, the others are parts of the
-// ledger. Groups are apart so that irreversible calls do not delay approvals. The control goroutine owns a replica; a
-// goroutine of its own writes to the disk.
+// replica is this member's copy of one replicated log with its state machine. Group 0 is the registry, the others are
+// parts of the ledger; they have separate logs so that irreversible calls do not delay approvals. The control goroutine
+// owns the replica, and a separate goroutine writes to its folder.
 type replica struct {
 	group uint32
 	id    raft.MemberID
@@ -29,11 +29,11 @@
 	pool    *rpc.Pool
 	// post runs a function on the control goroutine; it returns false once the member has stopped.
 	post func(func(now time.Time)) bool
-	// onFailure stops the member.
+	// onFailure is called once when the disk or the state machine has failed; it stops the member.
 	onFailure func(error)
-	// onApplied is told that entries or a snapshot were onApplied; it may be nil.
+	// onApplied is called after entries or a snapshot were applied; it may be nil.
 	onApplied func(now time.Time)
-	// onMembershipChange is told of a new membership; it may be nil.
+	// onMembershipChange is called with each new membership; it may be nil.
 	onMembershipChange func(now time.Time, membership raft.Membership)
 	snapshotEntries    uint64
 
@@ -48,22 +48,22 @@
 	snapshotIndex uint64
 }
 
-// proposal waits for its log entry to be applied.
+// proposal is a proposal whose log entry is not applied yet.
 type proposal struct {
 	term uint64
 	done chan *protocol.ProposeReply
 }
 
-// writeJob is one batch for the writing goroutine.
+// writeJob is what writeLoop stores at once: either a batch of the log, or a snapshot that this replica took.
 type writeJob struct {
 	ready    raft.Ready
 	snapshot *raft.Snapshot
 }
 
-// writeQueueLength is one batch and one snapshot.
+// writeQueueLength leaves room for one batch and one snapshot.
 const writeQueueLength = 2
 
-// open reads a replica's folder.
+// open recovers the log from the replica's folder.
 func (r *replica) open(fs disk.FS) (wal.Recovered, error) {
 	log, recovered, err := wal.Open(fs)
 	if err != nil {
@@ -99,7 +99,7 @@
 
 func (r *replica) isLeader() bool { return r.raft.Status().Role == raft.RoleLeader }
 
-// leaderAddress returns the mesh address of the leader as far as this replica knows.
+// leaderAddress returns the mesh address of the leader that this replica knows, or an empty string.
 func (r *replica) leaderAddress() string {
 	status := r.raft.Status()
 	if leader, ok := status.Membership.Find(status.Leader); ok {
@@ -134,20 +134,20 @@
 	}
 }
 
-// step takes messages of the member at an address.
+// step handles Raft messages from the member at an address.
 func (r *replica) step(now time.Time, address string, messages []raft.Message) {
 	for _, message := range messages {
 		if message.To == r.id && len(r.transport.senders) < maxSenders {
 			r.transport.addSender(message.From, address)
 		}
 		if err := r.raft.Step(now, message); err != nil {
-			r.logger.Debug().Err(err).Str("from", string(message.From)).Msg("ignored a log message")
+			r.logger.Debug().Err(err).Str("from", string(message.From)).Msg("ignored a Raft message")
 		}
 	}
 }
 
-// processReady hands the next batch of the log to the writing goroutine. The disk never blocks the control goroutine; while a
-// write runs, further proposals gather and share the next synced write.
+// processReady passes the next batch of the log to writeLoop, so that the disk never blocks the control goroutine. While
+// a write runs, further proposals collect and share the next synced write.
 func (r *replica) processReady(now time.Time) {
 	for !r.writeInFlight && !r.hasFailed && r.raft.HasReady() {
 		ready := r.raft.Ready()
@@ -160,13 +160,13 @@
 		r.writes <- writeJob{ready: ready}
 	}
 	if r.writeInFlight && !r.hasFailed {
-		// A slow write must not stop heartbeats.
+		// A slow write must not delay heartbeats.
 		r.transport.send(r.raft.TakeEarly())
 	}
 	r.endProposalsAfterLeadership()
 }
 
-// finishBatch completes a batch that is durable.
+// finishBatch sends the messages of a batch that is durable and applies its committed entries.
 func (r *replica) finishBatch(now time.Time, ready raft.Ready) {
 	r.transport.send(ready.Messages)
 	if ready.Snapshot != nil {
@@ -197,7 +197,7 @@
 		}
 		result, err := r.machine.apply(entry.Index, entry.Data)
 		if err != nil {
-			// Every member refuses a malformed entry alike.
+			// All members skip a malformed entry alike.
 			r.logger.Error().Err(err).Uint64("index", entry.Index).Msg("skipped a malformed log entry")
 		}
 		r.completeProposal(entry, result)
@@ -213,8 +213,8 @@
 	}
 }
 
-// completeProposal answers the proposer of an applied entry. Another term at its index means that the entry of that proposal was
-// replaced.
+// completeProposal sends the result of an applied entry to its proposer. If the entry has another term than the proposal
+// at its index, the proposed entry was replaced and the outcome is reported as uncertain.
 func (r *replica) completeProposal(entry raft.Entry, result []byte) {
 	waiting, ok := r.proposals[entry.Index]
 	if !ok {
@@ -232,14 +232,15 @@
 	return &protocol.ProposeReply{Status: protocol.ProposeUncertain, Leader: r.leaderAddress()}
 }
 
-// endProposalsAfterLeadership answers proposals that this replica can no longer see through, because it does not lead any more.
+// endProposalsAfterLeadership ends the open proposals once this replica no longer leads, as it may not learn their
+// results.
 func (r *replica) endProposalsAfterLeadership() {
 	if len(r.proposals) > 0 && !r.isLeader() {
 		r.endOpenProposals()
 	}
 }
 
-// endOpenProposals answers all open proposals.
+// endOpenProposals replies to all open proposals that their outcome is uncertain.
 func (r *replica) endOpenProposals() {
 	for index, waiting := range r.proposals {
 		delete(r.proposals, index)
@@ -247,7 +248,7 @@
 	}
 }
 
-// updateMembership starts and stops the senders to other members.
+// updateMembership starts and stops senders if the membership has changed, and reports the new membership.
 func (r *replica) updateMembership(now time.Time) {
 	membership := r.raft.Status().Membership
 	if sameMembers(membership, r.membership) {
@@ -272,7 +273,8 @@
 	return true
 }
 
-// saveSnapshotIfDue saves a snapshot after enough entries, so that the log and the time of a restart stay bounded.
+// saveSnapshotIfDue saves a snapshot after snapshotEntries entries, so that the size of the log and the duration of a
+// restart stay bounded.
 func (r *replica) saveSnapshotIfDue() {
 	if r.hasFailed || r.writeInFlight || r.lastApplied-r.snapshotIndex < r.snapshotEntries {
 		return
@@ -292,7 +294,7 @@
 	r.writes <- writeJob{snapshot: &snapshot}
 }
 
-// writeLoop is the only goroutine that writes to the replica's folder.
+// writeLoop stores jobs until ctx ends. Its goroutine is the only one that writes to the replica's folder.
 func (r *replica) writeLoop(ctx context.Context) {
 	for {
 		select {
@@ -319,6 +321,7 @@
 	return r.log.Append(job.ready.HardState, job.ready.Entries)
 }
 
+// handleWritten continues on the control goroutine after writeLoop has stored a job.
 func (r *replica) handleWritten(now time.Time, job writeJob, err error) {
 	r.writeInFlight = false
 	switch {
@@ -328,12 +331,12 @@
 		r.finishBatch(now, job.ready)
 	default:
 		if err := r.raft.Compact(*job.snapshot); err != nil {
-			r.logger.Warn().Err(err).Msg("kept the log before a snapshot")
+			r.logger.Warn().Err(err).Msg("cannot drop the log entries that a snapshot covers")
 		}
 	}
 }
 
-// fail stops the member: without its disk it can keep no promise.
+// fail stops the member, because it can no longer store what it acknowledges.
 func (r *replica) fail(err error) {
 	if r.hasFailed {
 		return
@@ -342,7 +345,8 @@
 	r.onFailure(err)
 }
 
-// transferLeadership hands the leadership to the voter with the longest log. It reports whether this replica still leads.
+// transferLeadership asks the voter with the longest log to take over the leadership. It reports whether a transfer is
+// under way; it is not if this replica does not lead or there is no other voter.
 func (r *replica) transferLeadership(now time.Time) bool {
 	status := r.raft.Status()
 	if status.Role != raft.RoleLeader {
@@ -361,13 +365,13 @@
 		return false
 	}
 	if err := r.raft.TransferLeadership(now, target); err != nil {
-		r.logger.Warn().Err(err).Msg("cannot hand over the leadership")
+		r.logger.Warn().Err(err).Msg("cannot transfer the leadership")
 		return false
 	}
 	return true
 }
 
-// close ends the replica after the control goroutine has ended.
+// close waits for the senders and closes the log. The control goroutine must have ended.
 func (r *replica) close() {
 	if r.transport != nil {
 		r.transport.sending.Wait()
--- a/control/statemachine.go
+++ b/control/statemachine.go
@@ -9,18 +9,19 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// stateMachine is a replicated state stateMachine behind one log. The control goroutine owns it.
+// stateMachine is the replicated state machine of one log. Only the control goroutine uses it.
 type stateMachine interface {
-	// prepare checks a proposal on the leader and returns the content of its log entry.
+	// prepare checks a proposed command on the leader and returns the data of its log entry. nowMs is the leader's wall
+	// clock in milliseconds since 1970.
 	prepare(nowMs int64, command []byte) ([]byte, error)
-	// apply executes a committed entry and returns the encoded result.
+	// apply executes the committed entry at a log index and returns the encoded result.
 	apply(index uint64, data []byte) ([]byte, error)
 	snapshot() ([]byte, error)
-	// restore replaces the state by that of a snapshot; empty data stands for the empty state.
+	// restore replaces the state by that of a snapshot. Empty data stands for the empty state.
 	restore(data []byte) error
 }
 
-// registryStateMachine holds approvals and bundles.
+// registryStateMachine holds the registry of bundles and approvals.
 type registryStateMachine struct {
 	keys     *bundle.Keyring
 	registry *registry.Registry
@@ -30,7 +31,7 @@
 	return &registryStateMachine{keys: keys, registry: registry.New(keys)}
 }
 
-// prepare reduces a stage to what the registry lacks, so that the log carries each part once.
+// prepare reduces the update of a stage to the parts that the registry lacks, so that the log carries each part once.
 func (s *registryStateMachine) prepare(_ int64, data []byte) ([]byte, error) {
 	command, err := registry.DecodeCommand(data)
 	if err != nil {
@@ -39,7 +40,7 @@
 	if command.Stage == nil {
 		return data, nil
 	}
-	// A stage that cannot be reduced is committed as it is; applying it gives the exact refusal.
+	// A stage that cannot be reduced is committed as it is: applying it returns the reason for the refusal.
 	if reduced, err := s.registry.Shrink(*command.Stage); err == nil {
 		command.Stage = &reduced
 	}
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// ledgerStateMachine holds irreversible calls.
+// ledgerStateMachine holds one part of the ledger of irreversible calls.
 type ledgerStateMachine struct {
 	config ledger.Config
 	ledger *ledger.Ledger
@@ -79,7 +80,7 @@
 	return &ledgerStateMachine{config: config, ledger: ledger.New(config)}
 }
 
-// prepare sets the leader's time, so that all replicas apply the same one.
+// prepare sets the time of the command to the leader's, so that all replicas apply the command at the same time.
 func (s *ledgerStateMachine) prepare(nowMs int64, data []byte) ([]byte, error) {
 	var command ledger.Command
 	if err := protocol.Unmarshal(data, &command); err != nil {
