--- a/state/registry/apply.go
+++ b/state/registry/apply.go
@@ -30,15 +30,15 @@
 	if result.Index == 0 {
 		result.Index = index
 	}
-	if c.RequestID != "" && final(c, result.Code) {
+	if c.RequestID != "" && isFinal(c, result.Code) {
 		r.results.put(key, result)
 	}
 	return result
 }
 
-// final reports whether a resent command must get this result. A stage that lacks its base is proposed again with
+// isFinal reports whether a resent command must get this result. A stage that lacks its base is proposed again with
 // another update. Commands that cannot be attributed to an operator are not kept, so that they cannot displace others.
-func final(c Command, code Code) bool {
+func isFinal(c Command, code Code) bool {
 	if code == CodeUnauthorized || code == CodeMalformed {
 		return false
 	}
@@ -50,7 +50,7 @@
 	case c.Stage != nil && c.Approve == nil && c.Stop == nil:
 		return r.stage(index, *c.Stage)
 	case c.Stage != nil && c.Approve != nil && c.Stop == nil:
-		return r.put(index, *c.Stage, *c.Approve)
+		return r.stageAndApprove(index, *c.Stage, *c.Approve)
 	case c.Stage == nil && c.Approve != nil && c.Stop == nil:
 		return r.approve(index, *c.Approve)
 	case c.Stage == nil && c.Approve == nil && c.Stop != nil:
@@ -60,8 +60,8 @@
 	}
 }
 
-// decided returns the result for a version that can no longer be staged or approved.
-func (r *Registry) decided(version uint64, digest bundle.Digest) (Result, bool) {
+// checkVersion returns the result for a version that can no longer be staged or approved.
+func (r *Registry) checkVersion(version uint64, digest bundle.Digest) (Result, bool) {
 	if version == 0 {
 		return refuse(CodeMalformed, "version 0 is not allowed"), true
 	}
@@ -80,7 +80,7 @@
 		result.Winner = r.latest.Approval
 		return result, true
 	}
-	if _, ok := r.withdrawn[version]; ok || version <= r.floor {
+	if _, ok := r.withdrawn[version]; ok || version <= r.withdrawnUpTo {
 		return refuse(CodeWithdrawn, "version %d was withdrawn by a stop", version), true
 	}
 	return Result{}, false
@@ -90,7 +90,7 @@
 	if !r.keys.Has(s.Operator) {
 		return refuse(CodeUnauthorized, "operator %q has no key in the keyring", s.Operator)
 	}
-	if result, done := r.decided(s.Version, s.Digest); done {
+	if result, done := r.checkVersion(s.Version, s.Digest); done {
 		return result
 	}
 	for _, staged := range r.staged {
@@ -98,21 +98,21 @@
 			return Result{Effect: EffectStaged, Index: staged.Index}
 		}
 	}
-	if result := r.admit(s); result.Code != CodeOK {
-		r.retain()
+	if result := r.addToStore(s); result.Code != CodeOK {
+		r.pruneStore()
 		return result
 	}
 	r.staged = append(r.staged, Staged{Version: s.Version, Digest: s.Digest, Operator: s.Operator, Index: index})
 	if len(r.staged) > MaxStaged {
 		r.staged = slices.Delete(r.staged, 0, 1)
 	}
-	r.retain()
+	r.pruneStore()
 	return Result{Effect: EffectStaged, Index: index}
 }
 
-// admit adds the bundle to the store and validates it. Every bundle in the store has been validated, so approve need
+// addToStore adds the bundle to the store and validates it. Every bundle in the store has been validated, so approve need
 // not do it again on the path that convergence time depends on.
-func (r *Registry) admit(s Stage) Result {
+func (r *Registry) addToStore(s Stage) Result {
 	if r.store.Holds(s.Digest) {
 		return Result{}
 	}
@@ -125,19 +125,19 @@
 			s.Digest.Short())
 	}
 	if err := r.store.Add(update); err != nil {
-		return refuse(codeOfStore(err), "%v", err)
+		return refuse(codeOfStoreError(err), "%v", err)
 	}
-	return r.validate(s.Digest)
+	return r.validateStored(s.Digest)
 }
 
-func codeOfStore(err error) Code {
+func codeOfStoreError(err error) Code {
 	if errors.Is(err, bundle.ErrMissingPart) {
 		return CodeMissingParts
 	}
 	return CodeInvalid
 }
 
-func (r *Registry) validate(digest bundle.Digest) Result {
+func (r *Registry) validateStored(digest bundle.Digest) Result {
 	b, err := r.store.Bundle(digest)
 	if err != nil {
 		return refuse(CodeInvalid, "%v", err)
@@ -159,23 +159,23 @@
 }
 
 func (r *Registry) approve(index uint64, a bundle.Approval) Result {
-	if result, done := r.judge(a); done {
+	if result, done := r.checkApproval(a); done {
 		return result
 	}
 	if !r.store.Holds(a.Digest) {
 		return refuse(CodeMissingParts, "bundle %s is not staged", a.Digest.Short())
 	}
-	r.accept(index, a)
+	r.setLatest(index, a)
 	return Result{Effect: EffectApproved, Approval: r.latest.Approval, Index: index}
 }
 
-// judge returns the result of an approval that is decided already, not authorized, or does not meet its condition on the
+// checkApproval returns the result of an approval that is decided already, not authorized, or does not meet its condition on the
 // version that it replaces.
-func (r *Registry) judge(a bundle.Approval) (result Result, done bool) {
+func (r *Registry) checkApproval(a bundle.Approval) (result Result, done bool) {
 	if err := r.keys.Verify(a); err != nil {
 		return refuse(CodeUnauthorized, "%v", err), true
 	}
-	if result, done := r.decided(a.Version, a.Digest); done {
+	if result, done := r.checkVersion(a.Version, a.Digest); done {
 		return result, true
 	}
 	switch {
@@ -187,13 +187,13 @@
 	return Result{}, false
 }
 
-// put stages and approves a bundle in one step. All conditions of the approval are checked first, so that a refused put
+// stageAndApprove stages and approves a bundle in one step. All conditions of the approval are checked first, so that a refused stageAndApprove
 // stages nothing.
-func (r *Registry) put(index uint64, s Stage, a bundle.Approval) Result {
+func (r *Registry) stageAndApprove(index uint64, s Stage, a bundle.Approval) Result {
 	if s.Version != a.Version || s.Digest != a.Digest || s.Operator != a.Operator {
 		return refuse(CodeMalformed, "stage and approval differ")
 	}
-	if result, done := r.judge(a); done {
+	if result, done := r.checkApproval(a); done {
 		return result
 	}
 	if result := r.stage(index, s); result.Code != CodeOK {
@@ -202,18 +202,18 @@
 	return r.approve(index, a)
 }
 
-// accept makes the approval the latest and drops what it supersedes.
-func (r *Registry) accept(index uint64, a bundle.Approval) {
+// setLatest makes the approval the latest and drops what it supersedes.
+func (r *Registry) setLatest(index uint64, a bundle.Approval) {
 	previous := r.latest
-	r.latest = r.record(HistoryRecord{
+	r.latest = r.addRecord(HistoryRecord{
 		Index: index, Action: ActionApproved, Version: a.Version, Digest: a.Digest, Operator: a.Operator, Approval: &a,
 	})
 	invariant.Check(previous == nil || previous.Version < a.Version, invariant.RevertedBundle,
 		"registry: approved version is not greater than the latest", map[string]any{"version": a.Version})
 	r.stopped = false
-	r.recent = append(r.recent, a.Digest)
-	if len(r.recent) > retainedApproved {
-		r.recent = slices.Delete(r.recent, 0, 1)
+	r.recentApproved = append(r.recentApproved, a.Digest)
+	if len(r.recentApproved) > retainedApproved {
+		r.recentApproved = slices.Delete(r.recentApproved, 0, 1)
 	}
 	r.staged = slices.DeleteFunc(r.staged, func(s Staged) bool { return s.Version <= a.Version })
 	for version := range r.withdrawn {
@@ -221,7 +221,7 @@
 			delete(r.withdrawn, version)
 		}
 	}
-	r.retain()
+	r.pruneStore()
 }
 
 func (r *Registry) notLatest(version uint64) Result {
@@ -235,7 +235,7 @@
 }
 
 func (r *Registry) stop(index uint64, s Stop) Result {
-	if err := r.keys.VerifyMessage(s.Operator, purposeStop, s.signed(), s.Signature); err != nil {
+	if err := r.keys.VerifyMessage(s.Operator, purposeStop, s.signedBytes(), s.Signature); err != nil {
 		return refuse(CodeUnauthorized, "%v", err)
 	}
 	if record, ok := r.stops[s.Version]; ok {
@@ -248,7 +248,7 @@
 		return r.notLatest(s.Version)
 	}
 	if r.latest != nil && s.Version == r.latest.Version {
-		return r.halt(index, s)
+		return r.stopRollout(index, s)
 	}
 	return r.withdraw(index, s)
 }
@@ -260,10 +260,10 @@
 	return nil
 }
 
-// halt stops the rollout of the latest version.
-func (r *Registry) halt(index uint64, s Stop) Result {
+// stopRollout stops the rollout of the latest version.
+func (r *Registry) stopRollout(index uint64, s Stop) Result {
 	r.stopped = true
-	r.record(HistoryRecord{
+	r.addRecord(HistoryRecord{
 		Index: index, Action: ActionStopped, Version: s.Version, Digest: r.latest.Digest, Operator: s.Operator,
 	})
 	return Result{Effect: EffectStopped, Approval: r.latest.Approval, Index: index}
@@ -287,10 +287,10 @@
 	}
 	r.withdrawn[s.Version] = index
 	r.limitWithdrawn()
-	r.record(HistoryRecord{
+	r.addRecord(HistoryRecord{
 		Index: index, Action: ActionWithdrawn, Version: s.Version, Digest: digest, Operator: s.Operator,
 	})
-	r.retain()
+	r.pruneStore()
 	return Result{Effect: EffectWithdrawn, Index: index}
 }
 
@@ -301,8 +301,8 @@
 	}
 	lowest := sortedVersions(r.withdrawn)[0]
 	delete(r.withdrawn, lowest)
-	r.floor = max(r.floor, lowest)
+	r.withdrawnUpTo = max(r.withdrawnUpTo, lowest)
 }
 
-// retain drops the parts of all bundles that are neither among the latest approved nor staged.
-func (r *Registry) retain() { r.store.Retain(r.held()...) }
+// pruneStore drops the parts of all bundles that are neither among the latest approved nor staged.
+func (r *Registry) pruneStore() { r.store.Retain(r.storedDigests()...) }
--- a/state/registry/scale_test.go
+++ b/state/registry/benchmark_test.go
@@ -33,7 +33,7 @@
 // The approval is also measured alone, as it is on the path of the convergence time.
 func BenchmarkChange(b *testing.B) {
 	RegisterTestingT(b)
-	r := registry.New(ring("ana"))
+	r := registry.New(keyring("ana"))
 	version := uint64(0)
 	var approving time.Duration
 	for b.Loop() {
@@ -59,7 +59,7 @@
 // route, and the longest history.
 func BenchmarkSnapshot(b *testing.B) {
 	RegisterTestingT(b)
-	r := registry.New(ring("ana"))
+	r := registry.New(keyring("ana"))
 	index, version := uint64(0), uint64(0)
 	digests := []bundle.Digest{}
 	for i := range 16 {
@@ -84,7 +84,7 @@
 	})
 	b.Run("restore", func(b *testing.B) {
 		for b.Loop() {
-			_, err := registry.Restore(ring("ana"), snapshot)
+			_, err := registry.Restore(keyring("ana"), snapshot)
 			Expect(err).NotTo(HaveOccurred())
 		}
 	})
--- a/state/registry/command.go
+++ b/state/registry/command.go
@@ -43,12 +43,12 @@
 
 // SignStop returns the stop with the operator's signature. A stop is signed because it changes what every node holds.
 func SignStop(key ed25519.PrivateKey, s Stop) Stop {
-	s.Signature = bundle.SignMessage(key, purposeStop, s.signed())
+	s.Signature = bundle.SignMessage(key, purposeStop, s.signedBytes())
 	return s
 }
 
-// signed returns the encoding that the signature covers.
-func (s Stop) signed() []byte {
+// signedBytes returns the encoding that the signature covers.
+func (s Stop) signedBytes() []byte {
 	s.Signature = nil
 	data, err := encoding.Marshal(s)
 	if err != nil {
--- a/state/registry/fuzz_test.go
+++ b/state/registry/fuzz_test.go
@@ -14,14 +14,14 @@
 // refused. The input is the uncompressed encoding, so that the fuzzer reaches the decoder.
 func FuzzUpdate(f *testing.F) {
 	RegisterTestingT(f)
-	for _, update := range []bundle.Update{updateOf(content(1)), {Base: digestOf(2), Target: digestOf(2)}} {
+	for _, update := range []bundle.Update{updateOf(bundleWith(1)), {Base: digestOf(2), Target: digestOf(2)}} {
 		data, err := cbor.Marshal(update)
 		Expect(err).NotTo(HaveOccurred())
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		RegisterTestingT(t)
-		r := registry.New(ring("ana"))
+		r := registry.New(keyring("ana"))
 		Expect(r.Apply(1, stage(1, "ana", 2)).Err()).To(Succeed())
 		compressed := compress(data)
 		update, err := registry.DecodeUpdate(compressed)
@@ -55,7 +55,7 @@
 		if err != nil {
 			return
 		}
-		r := registry.New(ring("ana"))
+		r := registry.New(keyring("ana"))
 		r.Apply(1, c)
 		if state := r.State(); state.Latest != nil || len(r.History()) > 0 {
 			t.Fatalf("command without a valid signature took effect: %x", data)
--- a/state/registry/memory_test.go
+++ b/state/registry/memory_test.go
@@ -15,7 +15,7 @@
 	It("takes no more memory for a small update than twice the largest one", func() {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		_, err := registry.EncodeUpdate(updateOf(content(1)))
+		_, err := registry.EncodeUpdate(updateOf(bundleWith(1)))
 		Expect(err).NotTo(HaveOccurred())
 		runtime.ReadMemStats(&after)
 		Expect(after.TotalAlloc - before.TotalAlloc).To(BeNumerically("<=", 2*registry.MaxUpdateBytes))
--- a/state/registry/registry.go
+++ b/state/registry/registry.go
@@ -76,17 +76,17 @@
 	// latest is the record of the approval with the greatest version.
 	latest  *HistoryRecord
 	stopped bool
-	// recent lists the digests of the latest approved versions, oldest first.
-	recent []bundle.Digest
-	staged []Staged
+	// recentApproved lists the digests of the latest approved versions, oldest first.
+	recentApproved []bundle.Digest
+	staged         []Staged
 	// withdrawn maps versions above the latest approved one to the log index of their withdrawal.
 	withdrawn map[uint64]uint64
-	// floor is the greatest version that was dropped from withdrawn; versions up to it cannot be approved.
-	floor     uint64
-	history   []*HistoryRecord
-	approvals map[uint64]*HistoryRecord
-	stops     map[uint64]*HistoryRecord
-	results   resultCache
+	// withdrawnUpTo is the greatest version that was dropped from withdrawn; versions up to it cannot be approved.
+	withdrawnUpTo uint64
+	history       []*HistoryRecord
+	approvals     map[uint64]*HistoryRecord
+	stops         map[uint64]*HistoryRecord
+	results       resultCache
 }
 
 // New returns an empty registry that verifies signatures with the given keys.
@@ -103,7 +103,7 @@
 
 // State returns what members distribute to nodes.
 func (r *Registry) State() State {
-	state := State{Stopped: r.stopped, Index: r.index, StoredBundles: r.held()}
+	state := State{Stopped: r.stopped, Index: r.index, StoredBundles: r.storedDigests()}
 	if r.latest != nil {
 		approval := *r.latest.Approval
 		state.Latest = &approval
@@ -111,8 +111,8 @@
 	return state
 }
 
-// held lists the digests of the retained and the staged bundles once each, the approved ones first.
-func (r *Registry) held() []bundle.Digest {
+// storedDigests lists the digests of the retained and the staged bundles once each, the approved ones first.
+func (r *Registry) storedDigests() []bundle.Digest {
 	seen := make(map[bundle.Digest]bool)
 	var list []bundle.Digest
 	add := func(digest bundle.Digest) {
@@ -121,7 +121,7 @@
 			list = append(list, digest)
 		}
 	}
-	for _, digest := range r.recent {
+	for _, digest := range r.recentApproved {
 		add(digest)
 	}
 	for _, staged := range r.staged {
@@ -145,13 +145,13 @@
 	return list
 }
 
-// record appends to the history and drops its oldest record if it is full.
-func (r *Registry) record(h HistoryRecord) *HistoryRecord {
+// addRecord appends to the history and drops its oldest addRecord if it is full.
+func (r *Registry) addRecord(h HistoryRecord) *HistoryRecord {
 	entry := &h
 	r.history = append(r.history, entry)
 	r.indexRecord(entry)
 	if len(r.history) > MaxHistory {
-		r.forget(r.history[0])
+		r.unindexRecord(r.history[0])
 		r.history = r.history[1:]
 	}
 	return entry
@@ -166,7 +166,7 @@
 	}
 }
 
-func (r *Registry) forget(entry *HistoryRecord) {
+func (r *Registry) unindexRecord(entry *HistoryRecord) {
 	switch entry.Action {
 	case ActionApproved:
 		delete(r.approvals, entry.Version)
--- a/state/registry/registry_suite_test.go
+++ b/state/registry/registry_suite_test.go
@@ -34,7 +34,7 @@
 	return ed25519.NewKeyFromSeed(material)
 }
 
-func ring(operators ...string) *bundle.Keyring {
+func keyring(operators ...string) *bundle.Keyring {
 	keys := make(map[string][]ed25519.PublicKey)
 	for _, operator := range operators {
 		keys[operator] = []ed25519.PublicKey{keyOf(operator).Public().(ed25519.PublicKey)}
@@ -42,8 +42,8 @@
 	return bundle.NewKeyring(keys)
 }
 
-// content returns a valid bundle that differs by its number.
-func content(number int) *bundle.Bundle {
+// bundleWith returns a valid bundle that differs by its number.
+func bundleWith(number int) *bundle.Bundle {
 	return &bundle.Bundle{
 		Services: []bundle.Service{{Name: "ledger"}, {Name: "rank", QueueLimit: number}},
 		Routes: []bundle.Route{{Name: "lookup", Service: "rank", Class: bundle.ClassLookup, DeadlineMs: 100,
@@ -63,24 +63,24 @@
 	return data
 }
 
-func digestOf(number int) bundle.Digest { return updateOf(content(number)).Target }
+func digestOf(number int) bundle.Digest { return updateOf(bundleWith(number)).Target }
 
-// group applies each command to two members and checks that they agree, restoring the second one from a snapshot
+// replicaPair applies each command to two members and checks that they agree, restoring the second one from a snapshot
 // before each command.
-type group struct {
+type replicaPair struct {
 	first, second *registry.Registry
 	index         uint64
 }
 
-func newGroup() *group {
-	return &group{first: registry.New(ring("ana", "ben")), second: registry.New(ring("ana", "ben"))}
+func newReplicaPair() *replicaPair {
+	return &replicaPair{first: registry.New(keyring("ana", "ben")), second: registry.New(keyring("ana", "ben"))}
 }
 
-func (g *group) apply(c registry.Command) registry.Result {
+func (g *replicaPair) apply(c registry.Command) registry.Result {
 	g.index++
 	snapshot, err := g.second.Snapshot()
 	Expect(err).NotTo(HaveOccurred())
-	g.second, err = registry.Restore(ring("ana", "ben"), snapshot)
+	g.second, err = registry.Restore(keyring("ana", "ben"), snapshot)
 	Expect(err).NotTo(HaveOccurred())
 	data, err := registry.EncodeCommand(c)
 	Expect(err).NotTo(HaveOccurred())
@@ -94,7 +94,7 @@
 }
 
 func stage(version uint64, operator string, number int) registry.Command {
-	update := updateOf(content(number))
+	update := updateOf(bundleWith(number))
 	return registry.Command{Stage: &registry.Stage{
 		Version: version, Digest: update.Target, Operator: operator, Update: encode(update),
 	}}
@@ -112,8 +112,8 @@
 	return registry.Command{Stop: &s}
 }
 
-// accept stages and approves.
-func (g *group) accept(version uint64, number int) {
+// stageAndApprove stages and approves.
+func (g *replicaPair) stageAndApprove(version uint64, number int) {
 	GinkgoHelper()
 	Expect(g.apply(stage(version, "ana", number)).Err()).To(Succeed())
 	Expect(g.apply(approve(version, "ana", number, 0)).Err()).To(Succeed())
--- a/state/registry/registry_test.go
+++ b/state/registry/registry_test.go
@@ -12,8 +12,8 @@
 )
 
 var _ = Describe("Registry", func() {
-	var g *group
-	BeforeEach(func() { g = newGroup() })
+	var g *replicaPair
+	BeforeEach(func() { g = newReplicaPair() })
 
 	It("names the winner to the operator who loses a race for a version", func() {
 		Expect(g.apply(stage(1, "ana", 1)).Err()).To(Succeed())
@@ -29,23 +29,23 @@
 	It("gives a resent approval its first result, also after later versions", func() {
 		Expect(g.apply(stage(1, "ana", 1)).Err()).To(Succeed())
 		first := g.apply(approve(1, "ana", 1, 0))
-		g.accept(2, 2)
+		g.stageAndApprove(2, 2)
 		again := g.apply(approve(1, "ana", 1, 0))
 		Expect(again).To(Equal(first))
 		Expect(g.first.State().Latest.Version).To(Equal(uint64(2)))
 		Expect(g.apply(approve(1, "ana", 3, 0)).Err()).To(MatchError(registry.ErrVersionTaken))
-		g.accept(9, 3)
+		g.stageAndApprove(9, 3)
 		Expect(g.apply(approve(5, "ana", 1, 0)).Err()).To(MatchError(registry.ErrVersionOld))
 	})
 
 	It("gives a command with a request identifier its first result, even if that was a refusal", func() {
-		early := approve(1, "ana", 1, 0)
-		early.RequestID = "r1"
-		Expect(g.apply(early).Err()).To(MatchError(registry.ErrMissingParts))
+		premature := approve(1, "ana", 1, 0)
+		premature.RequestID = "r1"
+		Expect(g.apply(premature).Err()).To(MatchError(registry.ErrMissingParts))
 		Expect(g.apply(stage(1, "ana", 1)).Err()).To(Succeed())
-		Expect(g.apply(early).Err()).To(MatchError(registry.ErrMissingParts))
-		early.RequestID = "r2"
-		Expect(g.apply(early).Err()).To(Succeed())
+		Expect(g.apply(premature).Err()).To(MatchError(registry.ErrMissingParts))
+		premature.RequestID = "r2"
+		Expect(g.apply(premature).Err()).To(Succeed())
 		other := stop(1, "ana")
 		other.RequestID = "r2"
 		Expect(g.apply(other).Effect).To(Equal(registry.EffectStopped), "an identifier is not shared by two commands")
@@ -58,17 +58,17 @@
 		forged := approve(1, "ben", 1, 0)
 		forged.Approve.Operator = "ana"
 		Expect(g.apply(forged).Err()).To(MatchError(registry.ErrUnauthorized))
-		raised := approve(1, "ana", 1, 0)
-		raised.Approve.Version = 2
-		Expect(g.apply(raised).Err()).To(MatchError(registry.ErrUnauthorized))
-		halt := stop(7, "ana")
-		halt.Stop.Version = 1
-		Expect(g.apply(halt).Err()).To(MatchError(registry.ErrUnauthorized))
+		altered := approve(1, "ana", 1, 0)
+		altered.Approve.Version = 2
+		Expect(g.apply(altered).Err()).To(MatchError(registry.ErrUnauthorized))
+		alteredStop := stop(7, "ana")
+		alteredStop.Stop.Version = 1
+		Expect(g.apply(alteredStop).Err()).To(MatchError(registry.ErrUnauthorized))
 		Expect(g.first.State().Latest).To(BeNil())
 	})
 
 	It("refuses a bundle with a dangling route and keeps nothing of it", func() {
-		b := content(1)
+		b := bundleWith(1)
 		b.Routes[0].Service = "gone"
 		update := updateOf(b)
 		result := g.apply(registry.Command{Stage: &registry.Stage{
@@ -82,7 +82,7 @@
 
 	DescribeTable("refuses an altered bundle",
 		func(alter func(u *bundle.Update), want error) {
-			update := updateOf(content(1))
+			update := updateOf(bundleWith(1))
 			alter(&update)
 			result := g.apply(registry.Command{Stage: &registry.Stage{
 				Version: 1, Digest: digestOf(1), Operator: "ana", Update: encode(update),
@@ -98,7 +98,7 @@
 	)
 
 	It("refuses a bundle outside canonical form, so that one configuration has one digest", func() {
-		b := content(1)
+		b := bundleWith(1)
 		b.Routes[0].Match.Methods = []string{"PUT", "GET"}
 		update := updateOf(b)
 		result := g.apply(registry.Command{Stage: &registry.Stage{
@@ -116,7 +116,7 @@
 
 	It("stops before, during and after a rollout", func() {
 		Expect(g.apply(stop(1, "ana")).Err()).To(MatchError(registry.ErrUnknownVersion))
-		g.accept(1, 1)
+		g.stageAndApprove(1, 1)
 		// Staged: the version is withdrawn for good, whoever approves it, and staging it again is refused.
 		Expect(g.apply(stage(2, "ana", 2)).Err()).To(Succeed())
 		withdrawn := g.apply(stop(2, "ben"))
@@ -126,7 +126,7 @@
 		Expect(g.apply(stage(2, "ana", 3)).Err()).To(MatchError(registry.ErrWithdrawn))
 		Expect(g.first.State().StoredBundles).To(Equal([]bundle.Digest{digestOf(1)}))
 		// Approved: the rollout stops and the version stays the latest.
-		g.accept(3, 3)
+		g.stageAndApprove(3, 3)
 		stopped := g.apply(stop(3, "ben"))
 		Expect(stopped.Effect).To(Equal(registry.EffectStopped))
 		Expect(g.apply(stop(3, "ben"))).To(Equal(stopped))
@@ -135,7 +135,7 @@
 		Expect(g.apply(approve(3, "ana", 3, 0)).Err()).To(Succeed(), "a resent approval does not resume the rollout")
 		Expect(g.first.State().Stopped).To(BeTrue())
 		// Superseded: the next version is not stopped, and a resent stop does not stop it.
-		g.accept(4, 1)
+		g.stageAndApprove(4, 1)
 		Expect(g.first.State().Stopped).To(BeFalse())
 		Expect(g.apply(stop(3, "ben"))).To(Equal(stopped))
 		Expect(g.first.State().Stopped).To(BeFalse())
@@ -157,11 +157,11 @@
 		for _, version := range []uint64{10, 13, 14, 9 + many} {
 			Expect(g.apply(stage(version, "ana", 1)).Err()).To(MatchError(registry.ErrWithdrawn))
 		}
-		g.accept(10+many, 1)
+		g.stageAndApprove(10+many, 1)
 	})
 
 	It("gives a resent stage its first result, also if the leader shrinks it differently", func() {
-		g.accept(1, 1)
+		g.stageAndApprove(1, 1)
 		full := stage(2, "ana", 2)
 		full.RequestID = "r"
 		first := g.apply(full)
@@ -175,7 +175,7 @@
 	It("replaces a version only while it is the latest", func() {
 		Expect(g.apply(stage(2, "ana", 2)).Err()).To(Succeed())
 		Expect(g.apply(approve(2, "ana", 2, 1)).Err()).To(MatchError(registry.ErrNotLatest))
-		g.accept(1, 1)
+		g.stageAndApprove(1, 1)
 		Expect(g.apply(stop(1, "ana")).Err()).To(Succeed())
 		Expect(g.apply(stage(2, "ana", 2)).Err()).To(Succeed())
 		replaced := g.apply(approve(2, "ana", 2, 1))
@@ -190,7 +190,7 @@
 
 	It("keeps the latest approved bundles and a bounded number of staged ones", func() {
 		for version := uint64(1); version <= 20; version++ {
-			g.accept(version, int(version))
+			g.stageAndApprove(version, int(version))
 		}
 		for version := uint64(100); version <= 100+registry.MaxStaged; version++ {
 			Expect(g.apply(stage(version, "ana", int(version))).Err()).To(Succeed())
@@ -201,12 +201,12 @@
 		Expect(store.Holds(digestOf(5))).To(BeTrue())
 		Expect(store.Holds(digestOf(100))).To(BeFalse(), "the oldest staged bundle is dropped")
 		Expect(g.apply(approve(101, "ana", 101, 0)).Err()).To(Succeed())
-		g.accept(200, 5)
+		g.stageAndApprove(200, 5)
 		Expect(g.first.Staged()).To(BeEmpty())
 	})
 
 	It("shrinks a stage to the parts that the registry lacks", func() {
-		g.accept(1, 1)
+		g.stageAndApprove(1, 1)
 		full := stage(2, "ana", 2)
 		small, err := g.first.Shrink(*full.Stage)
 		Expect(err).NotTo(HaveOccurred())
@@ -217,17 +217,17 @@
 		Expect(update.Delta.Set).To(HaveLen(1))
 		Expect(len(small.Update)).To(BeNumerically("<", len(full.Stage.Update)))
 		Expect(g.apply(registry.Command{Stage: &small}).Err()).To(Succeed())
-		Expect(g.first.Store().Bundle(small.Digest)).To(Equal(content(2)))
+		Expect(g.first.Store().Bundle(small.Digest)).To(Equal(bundleWith(2)))
 		again, err := g.first.Shrink(*full.Stage)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(g.apply(registry.Command{Stage: &again}).Err()).To(Succeed())
 	})
 
 	It("refuses a damaged snapshot", func() {
-		g.accept(1, 1)
+		g.stageAndApprove(1, 1)
 		snapshot, err := g.first.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
-		_, err = registry.Restore(ring("ana"), snapshot[:len(snapshot)-3])
+		_, err = registry.Restore(keyring("ana"), snapshot[:len(snapshot)-3])
 		Expect(err).To(MatchError(registry.ErrMalformed))
 	})
 })
@@ -237,7 +237,7 @@
 func TestCommandOrderProperty(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGroup()
+		g := newReplicaPair()
 		winners := make(map[uint64]bundle.Digest)
 		latest := uint64(0)
 		for range rapid.IntRange(1, 15).Draw(t, "commands") {
--- a/state/registry/result.go
+++ b/state/registry/result.go
@@ -75,8 +75,8 @@
 	Problems bundle.Problems `cbor:"7,keyasint,omitempty"`
 }
 
-// kinds maps codes to errors.
-var kinds = map[Code]error{
+// errorsByCode maps codes to errors.
+var errorsByCode = map[Code]error{
 	CodeVersionTaken:   ErrVersionTaken,
 	CodeVersionOld:     ErrVersionOld,
 	CodeWithdrawn:      ErrWithdrawn,
@@ -93,7 +93,7 @@
 	if r.Code == CodeOK {
 		return nil
 	}
-	kind, ok := kinds[r.Code]
+	kind, ok := errorsByCode[r.Code]
 	if !ok {
 		return errors.Newf("registry: unknown code %d: %s", r.Code, r.Message)
 	}
--- a/state/registry/snapshot.go
+++ b/state/registry/snapshot.go
@@ -14,17 +14,17 @@
 
 // snapshot is the encoded state. Bundles are stored as a chain of updates, so that shared parts are stored once.
 type snapshot struct {
-	Format    uint64           `cbor:"1,keyasint"`
-	Index     uint64           `cbor:"2,keyasint"`
-	Latest    *HistoryRecord   `cbor:"3,keyasint,omitempty"`
-	Stopped   bool             `cbor:"4,keyasint,omitempty"`
-	Recent    []bundle.Digest  `cbor:"5,keyasint,omitempty"`
-	Staged    []Staged         `cbor:"6,keyasint,omitempty"`
-	Withdrawn []withdrawal     `cbor:"7,keyasint,omitempty"`
-	Floor     uint64           `cbor:"8,keyasint,omitempty"`
-	History   []*HistoryRecord `cbor:"9,keyasint,omitempty"`
-	Results   []cachedResult   `cbor:"10,keyasint,omitempty"`
-	Updates   []bundle.Update  `cbor:"11,keyasint,omitempty"`
+	Format         uint64           `cbor:"1,keyasint"`
+	Index          uint64           `cbor:"2,keyasint"`
+	Latest         *HistoryRecord   `cbor:"3,keyasint,omitempty"`
+	Stopped        bool             `cbor:"4,keyasint,omitempty"`
+	RecentApproved []bundle.Digest  `cbor:"5,keyasint,omitempty"`
+	Staged         []Staged         `cbor:"6,keyasint,omitempty"`
+	Withdrawn      []withdrawal     `cbor:"7,keyasint,omitempty"`
+	WithdrawnUpTo  uint64           `cbor:"8,keyasint,omitempty"`
+	History        []*HistoryRecord `cbor:"9,keyasint,omitempty"`
+	Results        []cachedResult   `cbor:"10,keyasint,omitempty"`
+	Updates        []bundle.Update  `cbor:"11,keyasint,omitempty"`
 }
 
 type withdrawal struct {
@@ -35,14 +35,14 @@
 // Snapshot returns the encoded state.
 func (r *Registry) Snapshot() ([]byte, error) {
 	s := snapshot{
-		Format: snapshotFormat, Index: r.index, Latest: r.latest, Stopped: r.stopped, Recent: r.recent,
-		Staged: r.staged, Floor: r.floor, History: r.history, Results: r.results.list(),
+		Format: snapshotFormat, Index: r.index, Latest: r.latest, Stopped: r.stopped, RecentApproved: r.recentApproved,
+		Staged: r.staged, WithdrawnUpTo: r.withdrawnUpTo, History: r.history, Results: r.results.list(),
 	}
 	for _, version := range sortedVersions(r.withdrawn) {
 		s.Withdrawn = append(s.Withdrawn, withdrawal{Version: version, Index: r.withdrawn[version]})
 	}
 	var base bundle.Digest
-	for _, digest := range r.held() {
+	for _, digest := range r.storedDigests() {
 		update, err := r.store.Update(base, digest)
 		if err != nil {
 			return nil, errors.Wrap(err, "registry: snapshot")
@@ -71,8 +71,8 @@
 		return nil, errors.Wrapf(ErrMalformed, "snapshot format %d, want %d", s.Format, snapshotFormat)
 	}
 	r := New(keys)
-	r.index, r.latest, r.stopped, r.recent = s.Index, s.Latest, s.Stopped, s.Recent
-	r.staged, r.floor, r.history = s.Staged, s.Floor, s.History
+	r.index, r.latest, r.stopped, r.recentApproved = s.Index, s.Latest, s.Stopped, s.RecentApproved
+	r.staged, r.withdrawnUpTo, r.history = s.Staged, s.WithdrawnUpTo, s.History
 	for _, entry := range s.Withdrawn {
 		r.withdrawn[entry.Version] = entry.Index
 	}
@@ -87,12 +87,12 @@
 			return nil, errors.Wrapf(ErrMalformed, "snapshot: %v", err)
 		}
 	}
-	return r, r.checkHeld()
+	return r, r.checkStored()
 }
 
-// checkHeld returns an error unless all bundles that the state names are in the store.
-func (r *Registry) checkHeld() error {
-	for _, digest := range r.held() {
+// checkStored returns an error unless all bundles that the state names are in the store.
+func (r *Registry) checkStored() error {
+	for _, digest := range r.storedDigests() {
 		if !r.store.Holds(digest) {
 			return errors.Wrapf(ErrMalformed, "snapshot lacks bundle %s", digest.Short())
 		}
--- a/state/registry/update.go
+++ b/state/registry/update.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return Stage{}, err
 	}
-	small, err := r.shrink(update)
+	small, err := r.shrinkUpdate(update)
 	if err != nil {
 		return Stage{}, err
 	}
@@ -86,7 +86,7 @@
 	return s, err
 }
 
-func (r *Registry) shrink(update bundle.Update) (bundle.Update, error) {
+func (r *Registry) shrinkUpdate(update bundle.Update) (bundle.Update, error) {
 	if r.store.Holds(update.Target) {
 		return bundle.Update{Base: update.Target, Target: update.Target}, nil
 	}
