--- a/state/registry/apply.go
+++ b/state/registry/apply.go
@@ -9,7 +9,8 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// Apply executes the command at a log index. Indexes must increase.
+// Apply executes the command at a log index and returns its result. The index must be greater than that of the command
+// before; otherwise the command is refused and the invariant Internal is reported as violated.
 func (r *Registry) Apply(index uint64, c Command) Result {
 	if !invariant.Check(index > r.index, invariant.Internal, "registry: log index was applied before",
 		map[string]any{"index": index, "applied": r.index}) {
@@ -36,8 +37,9 @@
 	return result
 }
 
-// isFinal reports whether a resent command must get this result. A stage that lacks its base is proposed again with
-// another update. Commands that cannot be attributed to an operator are not kept, so that they cannot displace others.
+// isFinal reports whether the result is kept for copies of the command that arrive later. A stage that lacks its base is
+// proposed again with another update, so its refusal is not kept. Results of commands that cannot be attributed to an
+// operator are not kept either, so that they cannot displace others.
 func isFinal(c Command, code Code) bool {
 	if code == CodeUnauthorized || code == CodeMalformed {
 		return false
@@ -60,7 +62,7 @@
 	}
 }
 
-// checkVersion returns the result for a version that can no longer be staged or approved.
+// checkVersion returns the result for a version that can no longer be staged or approved, or false if it still can.
 func (r *Registry) checkVersion(version uint64, digest bundle.Digest) (Result, bool) {
 	if version == 0 {
 		return refuse(CodeMalformed, "version 0 is not allowed"), true
@@ -86,6 +88,7 @@
 	return Result{}, false
 }
 
+// stage adds a bundle under a version. If too many are staged, the oldest one is dropped.
 func (r *Registry) stage(index uint64, s Stage) Result {
 	if !r.keys.Has(s.Operator) {
 		return refuse(CodeUnauthorized, "operator %q has no key in the keyring", s.Operator)
@@ -110,8 +113,8 @@
 	return Result{Effect: EffectStaged, Index: index}
 }
 
-// addToStore adds the bundle to the store and validates it. Every bundle in the store has been validated, so approve need
-// not do it again on the path that convergence time depends on.
+// addToStore adds the bundle to the store and validates it. Approvals rely on that: validating the bundle again would
+// delay the moment at which an approved version comes into force.
 func (r *Registry) addToStore(s Stage) Result {
 	if r.store.Holds(s.Digest) {
 		return Result{}
@@ -137,6 +140,7 @@
 	return CodeInvalid
 }
 
+// validateStored checks that a bundle in the store is valid and in canonical form.
 func (r *Registry) validateStored(digest bundle.Digest) Result {
 	b, err := r.store.Bundle(digest)
 	if err != nil {
@@ -169,8 +173,8 @@
 	return Result{Effect: EffectApproved, Approval: r.latest.Approval, Index: index}
 }
 
-// checkApproval returns the result of an approval that is decided already, not authorized, or does not meet its condition on the
-// version that it replaces.
+// checkApproval returns the result of an approval that is not authorized, that was decided before, or whose condition on
+// the version to be replaced is not met; done is false if the approval can go on.
 func (r *Registry) checkApproval(a bundle.Approval) (result Result, done bool) {
 	if err := r.keys.Verify(a); err != nil {
 		return refuse(CodeUnauthorized, "%v", err), true
@@ -187,8 +191,8 @@
 	return Result{}, false
 }
 
-// stageAndApprove stages and approves a bundle in one step. All conditions of the approval are checked first, so that a refused stageAndApprove
-// stages nothing.
+// stageAndApprove stages and approves a bundle in one step. It checks all conditions of the approval first, so that a
+// refused command stages nothing.
 func (r *Registry) stageAndApprove(index uint64, s Stage, a bundle.Approval) Result {
 	if s.Version != a.Version || s.Digest != a.Digest || s.Operator != a.Operator {
 		return refuse(CodeMalformed, "stage and approval differ")
@@ -202,7 +206,7 @@
 	return r.approve(index, a)
 }
 
-// setLatest makes the approval the latest and drops what it supersedes.
+// setLatest records the approval as the latest, and drops the staged and withdrawn versions up to it.
 func (r *Registry) setLatest(index uint64, a bundle.Approval) {
 	previous := r.latest
 	r.latest = r.addRecord(HistoryRecord{
@@ -224,6 +228,7 @@
 	r.pruneStore()
 }
 
+// notLatest refuses a command because its version is not the latest approved one.
 func (r *Registry) notLatest(version uint64) Result {
 	if r.latest == nil {
 		return refuse(CodeNotLatest, "version %d is not the latest approved version: none is approved", version)
@@ -234,6 +239,7 @@
 	return result
 }
 
+// stop stops the rollout of the latest approved version, or withdraws a staged version.
 func (r *Registry) stop(index uint64, s Stop) Result {
 	if err := r.keys.VerifyMessage(s.Operator, purposeStop, s.signedBytes(), s.Signature); err != nil {
 		return refuse(CodeUnauthorized, "%v", err)
@@ -253,6 +259,7 @@
 	return r.withdraw(index, s)
 }
 
+// approvalOf returns the approval of a version, or nil if the history no longer has it.
 func (r *Registry) approvalOf(version uint64) *bundle.Approval {
 	if record, ok := r.approvals[version]; ok {
 		return record.Approval
@@ -269,8 +276,8 @@
 	return Result{Effect: EffectStopped, Approval: r.latest.Approval, Index: index}
 }
 
-// withdraw drops all bundles that are staged under a version. The version cannot be used again, so that an approval
-// which is still under way cannot undo the stop.
+// withdraw drops all bundles that are staged under a version. The version cannot be used again, so that an approval that
+// was sent before the stop and arrives later does not undo it.
 func (r *Registry) withdraw(index uint64, s Stop) Result {
 	var digest bundle.Digest
 	found := false
@@ -294,7 +301,8 @@
 	return Result{Effect: EffectWithdrawn, Index: index}
 }
 
-// limitWithdrawn drops the lowest withdrawn version when there are too many, and refuses all versions up to it.
+// limitWithdrawn forgets the lowest withdrawn version if there are too many. From then on, all versions up to it count
+// as withdrawn.
 func (r *Registry) limitWithdrawn() {
 	if len(r.withdrawn) <= maxWithdrawn {
 		return
@@ -304,5 +312,5 @@
 	r.withdrawnUpTo = max(r.withdrawnUpTo, lowest)
 }
 
-// pruneStore drops the parts of all bundles that are neither among the latest approved nor staged.
+// pruneStore drops the parts of all bundles that are neither staged nor among the latest approved ones.
 func (r *Registry) pruneStore() { r.store.Retain(r.storedDigests()...) }
--- a/state/registry/benchmark_test.go
+++ b/state/registry/benchmark_test.go
@@ -11,7 +11,7 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// scaleBundle has the size of the design scale: 1,700 services with two routes each.
+// scaleBundle returns a bundle at the design scale: 1,700 services with two routes each.
 func scaleBundle(deadlineMs int) *bundle.Bundle {
 	b := &bundle.Bundle{}
 	for i := range 1700 {
@@ -29,8 +29,8 @@
 	return b
 }
 
-// BenchmarkChange measures one change of one route at the design scale: shrink and apply the stage, apply the approval.
-// The approval is also measured alone, as it is on the path of the convergence time.
+// BenchmarkChange measures the change of one route at the design scale: the stage is shrunk and applied, then the approval
+// is applied. The approval is also measured alone, as it delays the moment at which the version comes into force.
 func BenchmarkChange(b *testing.B) {
 	RegisterTestingT(b)
 	r := registry.New(keyring("ana"))
@@ -55,8 +55,8 @@
 	b.ReportMetric(float64(approving.Nanoseconds())/float64(version), "approve-ns")
 }
 
-// BenchmarkSnapshot measures taking and restoring a snapshot of a full registry: 16 approved bundles that differ by one
-// route, and the longest history.
+// BenchmarkSnapshot measures how long it takes to take and to restore a snapshot of a full registry: 16 approved bundles
+// that differ by one route, and a full history.
 func BenchmarkSnapshot(b *testing.B) {
 	RegisterTestingT(b)
 	r := registry.New(keyring("ana"))
--- a/state/registry/command.go
+++ b/state/registry/command.go
@@ -1,5 +1,6 @@
-// Package registry is the replicated state machine of staged bundles, approvals, stops and history. It is
-// deterministic: the same commands in the same order give the same state on every member.
+// Package registry implements the replicated state machine that holds the staged and approved bundles, the approvals,
+// the stops and the history. It is deterministic: the same commands in the same order give the same state on every
+// member.
 package registry
 
 import (
@@ -11,43 +12,44 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// Command is one entry of the replicated log. Exactly one of Stage, Approve and Stop is set, or Stage and Approve
-// together, which stage and approve a bundle in one step or leave everything as it is.
+// Command is one entry of the replicated log. Either exactly one of Stage, Approve and Stop is set, or Stage and Approve
+// together. The two together take effect in one step or not at all.
 type Command struct {
 	Stage   *Stage           `cbor:"1,keyasint,omitempty"`
 	Approve *bundle.Approval `cbor:"2,keyasint,omitempty"`
 	Stop    *Stop            `cbor:"3,keyasint,omitempty"`
-	// RequestID identifies the command across resends. A command that is equal to an earlier one, including its
-	// identifier, gets the earlier result. Commands with an empty identifier are only compared by content.
+	// RequestID identifies the command when it is sent again. A command that equals an earlier one, including this
+	// identifier, gets the earlier result. If it is empty, the result is not kept, and a command that is sent again is
+	// recognized only by its version and digest.
 	RequestID string `cbor:"4,keyasint,omitempty"`
 }
 
-// Stage brings a bundle's parts into the registry under a version that is not yet approved.
+// Stage adds a bundle to the registry under a version that is not approved yet.
 type Stage struct {
 	Version  uint64        `cbor:"1,keyasint"`
 	Digest   bundle.Digest `cbor:"2,keyasint"`
 	Operator string        `cbor:"3,keyasint"`
-	// Update is a bundle.Update encoded by EncodeUpdate, either complete or relative to a bundle that is held.
+	// Update is a bundle.Update encoded by EncodeUpdate, either complete or relative to a bundle in the registry.
 	Update []byte `cbor:"4,keyasint"`
 }
 
-// Stop withdraws a staged version or halts the rollout of the latest approved one.
+// Stop withdraws a staged version or stops the rollout of the latest approved one.
 type Stop struct {
 	Version   uint64 `json:"version" cbor:"1,keyasint"`
 	Operator  string `json:"operator" cbor:"2,keyasint"`
 	Signature []byte `json:"signature" cbor:"3,keyasint"`
 }
 
-// purposeStop separates signatures of stops from signatures of other messages.
+// purposeStop is part of the signed data, so that the signature of another kind of message is not valid for a stop.
 const purposeStop = "sapphiregate stop 1"
 
-// SignStop returns the stop with the operator's signature. A stop is signed because it changes what every node holds.
+// SignStop returns the stop with the operator's signature. Stops are signed because they affect every node.
 func SignStop(key ed25519.PrivateKey, s Stop) Stop {
 	s.Signature = bundle.SignMessage(key, purposeStop, s.signedBytes())
 	return s
 }
 
-// signedBytes returns the encoding that the signature covers.
+// signedBytes returns the encoding of the stop without its signature, which is what the signature covers.
 func (s Stop) signedBytes() []byte {
 	s.Signature = nil
 	data, err := encoding.Marshal(s)
@@ -73,8 +75,8 @@
 	return c, nil
 }
 
-// key identifies the command across resends. The update of a stage is left out: the digest names its content, and the
-// leader can shrink a resent update differently.
+// key returns the key under which the result of the command is kept. The key does not cover the update of a stage: the
+// digest identifies its content, and the leader may encode the update of a copy differently.
 func (c Command) key() (bundle.Digest, error) {
 	if c.Stage != nil {
 		stage := *c.Stage
--- a/state/registry/history_internal_test.go
+++ b/state/registry/history_internal_test.go
@@ -8,7 +8,8 @@
 )
 
 var _ = Describe("History", func() {
-	It("is bounded together with its indexes, so that a long-lived member does not grow", func() {
+	// Guards against memory that grows with the number of versions that were ever approved.
+	It("is bounded, and so are its indexes", func() {
 		r := New(bundle.NewKeyring(nil))
 		for version := uint64(1); version <= MaxHistory+2; version++ {
 			r.latest = r.addRecord(HistoryRecord{Action: ActionApproved, Version: version, Approval: &bundle.Approval{}})
--- a/state/registry/memory_test.go
+++ b/state/registry/memory_test.go
@@ -10,8 +10,8 @@
 )
 
 var _ = Describe("EncodeUpdate", func() {
-	// Guards against compressor tables that are many times as large as what they compress: every member that takes a
-	// change keeps them.
+	// Guards against a compressor whose tables are many times as large as the largest update: every member that has
+	// encoded an update keeps them.
 	It("takes no more memory for a small update than twice the largest one", func() {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
--- a/state/registry/registry.go
+++ b/state/registry/registry.go
@@ -9,14 +9,13 @@
 // Action is the kind of a history record.
 type Action string
 
-// The actions.
 const (
 	ActionApproved  Action = "approved"
 	ActionStopped   Action = "stopped"
 	ActionWithdrawn Action = "withdrawn"
 )
 
-// HistoryRecord is one decision of an operator that took effect.
+// HistoryRecord is an approval, stop or withdrawal that took effect.
 type HistoryRecord struct {
 	Index    uint64        `json:"index" cbor:"1,keyasint"`
 	Action   Action        `json:"action" cbor:"2,keyasint"`
@@ -27,7 +26,7 @@
 	Approval *bundle.Approval `json:"approval,omitempty" cbor:"6,keyasint,omitempty"`
 }
 
-// Staged describes a staged bundle.
+// Staged describes a staged bundle. Index is the log index of the command that staged it.
 type Staged struct {
 	Version  uint64        `json:"version" cbor:"1,keyasint"`
 	Digest   bundle.Digest `json:"digest" cbor:"2,keyasint"`
@@ -35,13 +34,14 @@
 	Index    uint64        `json:"index" cbor:"4,keyasint"`
 }
 
-// State is what members distribute to nodes.
+// State is the part of the registry's state that members distribute to nodes.
 type State struct {
 	// Latest is the approval with the greatest version, or nil before the first approval.
 	Latest *bundle.Approval
 	// Stopped reports whether the rollout of Latest was stopped.
 	Stopped bool
-	// StoredBundles lists the digests of the retained approved bundles, oldest first, then of the staged ones.
+	// StoredBundles lists the digests of the bundles in the store: those of the latest approved versions, oldest first,
+	// and then the staged ones.
 	StoredBundles []bundle.Digest
 	// Index is the log index of the last applied command.
 	Index uint64
@@ -49,22 +49,22 @@
 
 // Bounds of the state.
 const (
-	// retainedApproved is the number of latest approved versions whose parts are kept, so that nodes that missed a few
-	// versions still get a small update.
+	// retainedApproved is the number of the latest approved versions whose parts are kept, so that nodes that missed a
+	// few versions still get a small update.
 	retainedApproved = 16
-	// MaxStaged bounds the staged bundles. Staging one more drops the oldest, so that forgotten bundles never block an
-	// urgent one.
+	// MaxStaged bounds the staged bundles. Staging one more drops the oldest, so that forgotten bundles never block a new
+	// one.
 	MaxStaged = 16
-	// MaxHistory bounds the history to two days at the design rate of 8,600 changes a day. A resend of an approval
-	// that is older gets ErrVersionOld instead of the first result.
+	// MaxHistory is two days of records at the design rate of 8,600 changes a day. An older approval that is sent again
+	// gets ErrVersionOld instead of its first result.
 	MaxHistory = 2 * 8600
 	// maxWithdrawn bounds the withdrawn versions above the latest approved one.
 	maxWithdrawn = 256
-	// maxResults bounds the results that are kept for resent commands.
+	// maxResults bounds the results that are kept for commands that are sent again.
 	maxResults = 1024
-	// maxProblems bounds the faults in a result, as results are part of snapshots.
+	// maxProblems bounds the problems in a result, as results are part of snapshots.
 	maxProblems = 32
-	// maxRequestID bounds the length of a request identifier.
+	// maxRequestID is the greatest length of a request identifier, in bytes.
 	maxRequestID = 64
 )
 
@@ -84,9 +84,10 @@
 	// withdrawnUpTo is the greatest version that was dropped from withdrawn; versions up to it cannot be approved.
 	withdrawnUpTo uint64
 	history       []*HistoryRecord
-	approvals     map[uint64]*HistoryRecord
-	stops         map[uint64]*HistoryRecord
-	results       resultCache
+	// approvals and stops index the records in history by their version.
+	approvals map[uint64]*HistoryRecord
+	stops     map[uint64]*HistoryRecord
+	results   resultCache
 }
 
 // New returns an empty registry that verifies signatures with the given keys.
@@ -101,7 +102,7 @@
 	}
 }
 
-// State returns what members distribute to nodes.
+// State returns the part of the state that members distribute to nodes.
 func (r *Registry) State() State {
 	state := State{Stopped: r.stopped, Index: r.index, StoredBundles: r.storedDigests()}
 	if r.latest != nil {
@@ -111,7 +112,7 @@
 	return state
 }
 
-// storedDigests lists the digests of the retained and the staged bundles once each, the approved ones first.
+// storedDigests lists the digests of the retained approved bundles and of the staged ones, each digest once.
 func (r *Registry) storedDigests() []bundle.Digest {
 	seen := make(map[bundle.Digest]bool)
 	var list []bundle.Digest
@@ -130,13 +131,13 @@
 	return list
 }
 
-// Store returns the bundles that the registry holds. The caller must not change it.
+// Store returns the store of the retained approved and the staged bundles. The caller must not change it.
 func (r *Registry) Store() *bundle.Store { return r.store }
 
 // Staged lists the staged bundles in log order.
 func (r *Registry) Staged() []Staged { return slices.Clone(r.staged) }
 
-// History lists the decisions that took effect, oldest first.
+// History lists the records, oldest first.
 func (r *Registry) History() []HistoryRecord {
 	list := make([]HistoryRecord, 0, len(r.history))
 	for _, record := range r.history {
@@ -145,7 +146,7 @@
 	return list
 }
 
-// addRecord appends to the history and drops its oldest addRecord if it is full.
+// addRecord appends a record to the history and drops the oldest one if the history is full.
 func (r *Registry) addRecord(h HistoryRecord) *HistoryRecord {
 	entry := &h
 	r.history = append(r.history, entry)
--- a/state/registry/registry_suite_test.go
+++ b/state/registry/registry_suite_test.go
@@ -13,7 +13,7 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// seed makes every run draw the same cases.
+// seed is fixed so that every run draws the same cases.
 const seed = 20261204
 
 func init() {
@@ -42,7 +42,7 @@
 	return bundle.NewKeyring(keys)
 }
 
-// bundleWith returns a valid bundle that differs by its number.
+// bundleWith returns a valid bundle whose content depends on a number.
 func bundleWith(number int) *bundle.Bundle {
 	return &bundle.Bundle{
 		Services: []bundle.Service{{Name: "ledger"}, {Name: "rank", QueueLimit: number}},
@@ -65,8 +65,8 @@
 
 func digestOf(number int) bundle.Digest { return updateOf(bundleWith(number)).Target }
 
-// replicaPair applies each command to two members and checks that they agree, restoring the second one from a snapshot
-// before each command.
+// replicaPair applies each command to two registries and checks that they agree. The second one is restored from its
+// snapshot before each command.
 type replicaPair struct {
 	first, second *registry.Registry
 	index         uint64
@@ -112,7 +112,7 @@
 	return registry.Command{Stop: &s}
 }
 
-// stageAndApprove stages and approves.
+// stageAndApprove stages and approves a bundle with two commands, which must succeed.
 func (g *replicaPair) stageAndApprove(version uint64, number int) {
 	GinkgoHelper()
 	Expect(g.apply(stage(version, "ana", number)).Err()).To(Succeed())
--- a/state/registry/registry_test.go
+++ b/state/registry/registry_test.go
@@ -15,7 +15,7 @@
 	var g *replicaPair
 	BeforeEach(func() { g = newReplicaPair() })
 
-	It("names the winner to the operator who loses a race for a version", func() {
+	It("refuses a second approval of a version and names the winner", func() {
 		Expect(g.apply(stage(1, "ana", 1)).Err()).To(Succeed())
 		Expect(g.apply(stage(1, "ben", 2)).Err()).To(Succeed())
 		Expect(g.apply(approve(1, "ben", 2, 0)).Err()).To(Succeed())
@@ -26,7 +26,7 @@
 		Expect(g.apply(stage(1, "ana", 1)).Err()).To(MatchError(registry.ErrVersionTaken))
 	})
 
-	It("gives a resent approval its first result, also after later versions", func() {
+	It("gives an approval that is sent again its first result, also after later versions", func() {
 		Expect(g.apply(stage(1, "ana", 1)).Err()).To(Succeed())
 		first := g.apply(approve(1, "ana", 1, 0))
 		g.stageAndApprove(2, 2)
@@ -38,7 +38,7 @@
 		Expect(g.apply(approve(5, "ana", 1, 0)).Err()).To(MatchError(registry.ErrVersionOld))
 	})
 
-	It("gives a command with a request identifier its first result, even if that was a refusal", func() {
+	It("gives a command with a request identifier its first result when it is sent again, even a refusal", func() {
 		premature := approve(1, "ana", 1, 0)
 		premature.RequestID = "r1"
 		Expect(g.apply(premature).Err()).To(MatchError(registry.ErrMissingParts))
@@ -48,10 +48,10 @@
 		Expect(g.apply(premature).Err()).To(Succeed())
 		other := stop(1, "ana")
 		other.RequestID = "r2"
-		Expect(g.apply(other).Effect).To(Equal(registry.EffectStopped), "an identifier is not shared by two commands")
+		Expect(g.apply(other).Effect).To(Equal(registry.EffectStopped), "another command under the same identifier has its own result")
 	})
 
-	It("refuses what is not signed by a known operator", func() {
+	It("refuses commands that no known operator has signed", func() {
 		Expect(g.apply(stage(1, "eve", 1)).Err()).To(MatchError(registry.ErrUnauthorized))
 		Expect(g.apply(stage(1, "ana", 1)).Err()).To(Succeed())
 		Expect(g.apply(approve(1, "eve", 1, 0)).Err()).To(MatchError(registry.ErrUnauthorized))
@@ -67,7 +67,7 @@
 		Expect(g.first.State().Latest).To(BeNil())
 	})
 
-	It("refuses a bundle with a dangling route and keeps nothing of it", func() {
+	It("refuses a bundle with a route to a missing service and stores no part of it", func() {
 		b := bundleWith(1)
 		b.Routes[0].Service = "gone"
 		update := updateOf(b)
@@ -107,17 +107,17 @@
 		Expect(result.Err()).To(MatchError(registry.ErrInvalid))
 	})
 
-	It("refuses an update that decompresses beyond its bound", func() {
+	It("refuses an update that is larger than the bound when decompressed", func() {
 		_, err := registry.EncodeUpdate(bundle.Update{Parts: []bundle.Part{{Data: make([]byte, registry.MaxUpdateBytes)}}})
 		Expect(err).To(HaveOccurred())
 		_, err = registry.DecodeUpdate(compress(make([]byte, 8*registry.MaxUpdateBytes)))
 		Expect(err).To(MatchError(ContainSubstring("decompress")))
 	})
 
-	It("stops before, during and after a rollout", func() {
+	It("withdraws a staged version, and stops the rollout of the latest version only", func() {
 		Expect(g.apply(stop(1, "ana")).Err()).To(MatchError(registry.ErrUnknownVersion))
 		g.stageAndApprove(1, 1)
-		// Staged: the version is withdrawn for good, whoever approves it, and staging it again is refused.
+		// A staged version is withdrawn for good: approving it and staging it again are refused.
 		Expect(g.apply(stage(2, "ana", 2)).Err()).To(Succeed())
 		withdrawn := g.apply(stop(2, "ben"))
 		Expect(withdrawn.Effect).To(Equal(registry.EffectWithdrawn))
@@ -125,16 +125,16 @@
 		Expect(g.apply(approve(2, "ana", 1, 0)).Err()).To(MatchError(registry.ErrWithdrawn))
 		Expect(g.apply(stage(2, "ana", 3)).Err()).To(MatchError(registry.ErrWithdrawn))
 		Expect(g.first.State().StoredBundles).To(Equal([]bundle.Digest{digestOf(1)}))
-		// Approved: the rollout stops and the version stays the latest.
+		// The rollout of an approved version stops, and the version stays the latest.
 		g.stageAndApprove(3, 3)
 		stopped := g.apply(stop(3, "ben"))
 		Expect(stopped.Effect).To(Equal(registry.EffectStopped))
 		Expect(g.apply(stop(3, "ben"))).To(Equal(stopped))
 		Expect(g.first.State().Stopped).To(BeTrue())
 		Expect(g.first.State().Latest.Version).To(Equal(uint64(3)))
-		Expect(g.apply(approve(3, "ana", 3, 0)).Err()).To(Succeed(), "a resent approval does not resume the rollout")
+		Expect(g.apply(approve(3, "ana", 3, 0)).Err()).To(Succeed(), "an approval that is sent again does not resume the rollout")
 		Expect(g.first.State().Stopped).To(BeTrue())
-		// Superseded: the next version is not stopped, and a resent stop does not stop it.
+		// The next version is not stopped, and a stop of the earlier version that is sent again does not stop it.
 		g.stageAndApprove(4, 1)
 		Expect(g.first.State().Stopped).To(BeFalse())
 		Expect(g.apply(stop(3, "ben"))).To(Equal(stopped))
@@ -148,7 +148,7 @@
 			registry.ActionApproved, registry.ActionStopped, registry.ActionApproved}))
 	})
 
-	It("never lets a withdrawn version return, however many were withdrawn", func() {
+	It("refuses a withdrawn version for good, however many were withdrawn", func() {
 		const many = 260
 		for version := uint64(10); version < 10+many; version++ {
 			Expect(g.apply(stage(version, "ana", 1)).Err()).To(Succeed())
@@ -160,7 +160,7 @@
 		g.stageAndApprove(10+many, 1)
 	})
 
-	It("gives a resent stage its first result, also if the leader shrinks it differently", func() {
+	It("gives a stage that is sent again its first result, also if the leader shrinks it differently", func() {
 		g.stageAndApprove(1, 1)
 		full := stage(2, "ana", 2)
 		full.RequestID = "r"
@@ -232,8 +232,8 @@
 	})
 })
 
-// Guards against members that diverge, versions that move back and a second winner, in any order of commands with
-// snapshots in between.
+// Guards against replicas that diverge, a latest version that decreases, and two bundles approved under one version. It
+// draws random sequences of commands and restores a snapshot before each.
 func TestCommandOrderProperty(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
--- a/state/registry/result.go
+++ b/state/registry/result.go
@@ -8,10 +8,9 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// Code is the outcome of a command.
+// Code tells whether a command succeeded, or why it was refused.
 type Code uint8
 
-// The outcomes.
 const (
 	CodeOK Code = iota
 	// CodeVersionTaken means that the version was approved with another digest.
@@ -24,7 +23,7 @@
 	CodeNotLatest
 	// CodeUnknownVersion means that the version to be stopped is neither staged nor approved.
 	CodeUnknownVersion
-	// CodeMissingParts means that parts of the bundle, or the base of an update, are not held.
+	// CodeMissingParts means that the registry lacks parts of the bundle, or the base of an update.
 	CodeMissingParts
 	// CodeInvalid means that the bundle does not validate.
 	CodeInvalid
@@ -41,7 +40,7 @@
 	ErrWithdrawn      = errors.New("registry: version was withdrawn")
 	ErrNotLatest      = errors.New("registry: version is not the latest approved one")
 	ErrUnknownVersion = errors.New("registry: version is neither staged nor approved")
-	ErrMissingParts   = errors.New("registry: parts are not held")
+	ErrMissingParts   = errors.New("registry: parts of the bundle or the base of the update are missing")
 	ErrInvalid        = errors.New("registry: bundle does not validate")
 	ErrUnauthorized   = errors.New("registry: operator is unknown or the signature does not verify")
 	ErrMalformed      = errors.New("registry: malformed command")
@@ -50,7 +49,6 @@
 // Effect tells what a successful command did.
 type Effect string
 
-// The effects.
 const (
 	EffectStaged    Effect = "staged"
 	EffectApproved  Effect = "approved"
@@ -58,24 +56,24 @@
 	EffectStopped   Effect = "stopped"
 )
 
-// Result is the answer to a command.
+// Result is the result of a command.
 type Result struct {
 	Code    Code   `cbor:"1,keyasint,omitempty"`
 	Message string `cbor:"2,keyasint,omitempty"`
 	// Effect is set when Code is CodeOK.
 	Effect Effect `cbor:"3,keyasint,omitempty"`
-	// Approval is the approval that the command created or that an equal earlier command created, or the approval
-	// that a stop refers to.
+	// Approval is the approval that the command or an equal earlier one created, or that of the version that the command
+	// stopped.
 	Approval *bundle.Approval `cbor:"4,keyasint,omitempty"`
-	// Winner is the approval that stands in the way of a refused command.
+	// Winner is the approval because of which the command was refused, if there is one.
 	Winner *bundle.Approval `cbor:"5,keyasint,omitempty"`
-	// Index is the log index of the command whose result this is.
+	// Index is the log index of the command that has this result. For a command that was sent again, it is that of the
+	// first copy.
 	Index uint64 `cbor:"6,keyasint,omitempty"`
-	// Problems lists the faults of a bundle when Code is CodeInvalid.
+	// Problems lists the problems of the bundle when Code is CodeInvalid.
 	Problems bundle.Problems `cbor:"7,keyasint,omitempty"`
 }
 
-// errorsByCode maps codes to errors.
 var errorsByCode = map[Code]error{
 	CodeVersionTaken:   ErrVersionTaken,
 	CodeVersionOld:     ErrVersionOld,
@@ -88,7 +86,7 @@
 	CodeMalformed:      ErrMalformed,
 }
 
-// Err returns nil for CodeOK, otherwise an error that wraps one of this package's errors.
+// Err returns nil for CodeOK, and otherwise an error that wraps the error of the code.
 func (r Result) Err() error {
 	if r.Code == CodeOK {
 		return nil
--- a/state/registry/snapshot.go
+++ b/state/registry/snapshot.go
@@ -12,7 +12,8 @@
 // snapshotFormat is the version of the snapshot encoding.
 const snapshotFormat = 1
 
-// snapshot is the encoded state. Bundles are stored as a chain of updates, so that shared parts are stored once.
+// snapshot is the content of a snapshot. Each bundle is stored as an update relative to the one before it, so that parts
+// in common are stored once.
 type snapshot struct {
 	Format         uint64           `cbor:"1,keyasint"`
 	Index          uint64           `cbor:"2,keyasint"`
@@ -32,7 +33,7 @@
 	Index   uint64 `cbor:"2,keyasint"`
 }
 
-// Snapshot returns the encoded state.
+// Snapshot returns the compressed encoding of the state.
 func (r *Registry) Snapshot() ([]byte, error) {
 	s := snapshot{
 		Format: snapshotFormat, Index: r.index, Latest: r.latest, Stopped: r.stopped, RecentApproved: r.recentApproved,
@@ -57,7 +58,7 @@
 	return snapshotCompressor.EncodeAll(data, nil), nil
 }
 
-// Restore returns the registry whose state a snapshot holds.
+// Restore returns a registry with the state of a snapshot. It returns ErrMalformed if the snapshot is damaged.
 func Restore(keys *bundle.Keyring, data []byte) (*Registry, error) {
 	plain, err := snapshotDecompressor.DecodeAll(data, nil)
 	if err != nil {
@@ -90,7 +91,7 @@
 	return r, r.checkStored()
 }
 
-// checkStored returns an error unless all bundles that the state names are in the store.
+// checkStored returns ErrMalformed unless the store has all retained approved and staged bundles.
 func (r *Registry) checkStored() error {
 	for _, digest := range r.storedDigests() {
 		if !r.store.Holds(digest) {
@@ -102,13 +103,13 @@
 
 func sortedVersions(withdrawn map[uint64]uint64) []uint64 { return slices.Sorted(maps.Keys(withdrawn)) }
 
-// cachedResult is the result of a command, under the command's key.
+// cachedResult is the kept result of a command with the key of the command.
 type cachedResult struct {
 	Key    bundle.Digest `cbor:"1,keyasint"`
 	Result Result        `cbor:"2,keyasint"`
 }
 
-// resultCache keeps the results of the latest commands, so that a resent command gets its first result.
+// resultCache keeps the results of the latest commands, so that a command that is sent again gets its first result.
 type resultCache struct {
 	byKey map[bundle.Digest]Result
 	order []bundle.Digest
--- a/state/registry/update.go
+++ b/state/registry/update.go
@@ -8,12 +8,12 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// Bounds of decompressed data, so that a small message cannot exhaust the memory of every member.
+// Bounds of decompressed data: without them, a small message could exhaust the memory of every member.
 const (
 	// MaxUpdateBytes bounds a decompressed update. A bundle at the design scale (1,700 services, some thousand routes)
 	// takes about 1 MB.
 	MaxUpdateBytes = 8 << 20
-	// maxSnapshotBytes bounds a decompressed snapshot: the retained and staged bundles and the history.
+	// maxSnapshotBytes bounds a decompressed snapshot, which holds the retained and staged bundles and the history.
 	maxSnapshotBytes = (retainedApproved+MaxStaged)*MaxUpdateBytes + 64<<20
 )
 
@@ -29,7 +29,7 @@
 	// With a concurrency of 1, EncodeAll and DecodeAll run on the calling goroutine.
 	updateCompressor = must(zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1),
 		zstd.WithEncoderLevel(zstd.SpeedBetterCompression), zstd.WithLowerEncoderMem(true)))
-	// Snapshots are taken on the control goroutine, so their compressor is the fastest.
+	// Snapshots are taken on the control goroutine and must not block it for long.
 	snapshotCompressor = must(zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1),
 		zstd.WithEncoderLevel(zstd.SpeedFastest)))
 	updateDecompressor = must(zstd.NewReader(nil, zstd.WithDecoderConcurrency(1),
@@ -70,9 +70,9 @@
 	return u, nil
 }
 
-// Shrink returns the stage with an update that carries only what the registry does not hold, as a change to the latest
-// approved bundle. The leader calls it before it proposes a stage. If the base is dropped before the stage is applied,
-// the result is CodeMissingParts and the leader shrinks the original stage again.
+// Shrink returns the stage with a smaller update, which is relative to the latest approved bundle and leaves out the parts
+// that the registry has. The leader calls it before it proposes a stage. If the base is dropped before the stage is
+// applied, the result is CodeMissingParts, and the original stage must be sent again.
 func (r *Registry) Shrink(s Stage) (Stage, error) {
 	update, err := DecodeUpdate(s.Update)
 	if err != nil {
