--- a/state/ledger/keys.go
+++ b/state/ledger/keys.go
@@ -19,7 +19,7 @@
 // keyHash is the truncated SHA-256 of a key; it makes entries small and equal in size.
 type keyHash [16]byte
 
-func hashOf(key string) keyHash {
+func hashKey(key string) keyHash {
 	sum := sha256.Sum256([]byte(key))
 	return keyHash(sum[:len(keyHash{})])
 }
@@ -28,7 +28,7 @@
 // not arrived.
 type requestHash [16]byte
 
-func requestOf(route string, digest [32]byte) requestHash {
+func hashRequest(route string, digest [32]byte) requestHash {
 	sum := sha256.Sum256(append(digest[:], route...))
 	return requestHash(sum[:len(requestHash{})])
 }
@@ -54,15 +54,15 @@
 
 // entry is the state of one key.
 type entry struct {
-	request      requestHash
-	holder       holder
-	untilMs      int64
-	answerStatus uint16
-	status       Status // Claimed, Done or Released
+	request        requestHash
+	holder         holder
+	expiresMs      int64
+	responseStatus uint16
+	status         Status // Claimed, Done or Released
 }
 
 func (e entry) sameRequest(route string, digest [32]byte) bool {
-	return e.request == requestHash{} || e.request == requestOf(route, digest)
+	return e.request == requestHash{} || e.request == hashRequest(route, digest)
 }
 
 // keys holds the entries and the order in which they expire.
@@ -71,8 +71,8 @@
 	voided  map[keyHash][]holder
 	// buckets lists the keys by the bucket of their expiry. A key whose expiry changed is listed more than once.
 	buckets map[int64][]keyHash
-	// next is the first bucket that is not yet cleared.
-	next int64
+	// nextBucket is the first bucket that is not yet cleared.
+	nextBucket int64
 }
 
 func newKeys() keys {
@@ -86,14 +86,14 @@
 // lookup returns the entry of a key unless it has expired. It changes nothing.
 func (k *keys) lookup(key keyHash, nowMs int64) (entry, bool) {
 	e, ok := k.entries[key]
-	if ok && e.untilMs <= nowMs {
+	if ok && e.expiresMs <= nowMs {
 		return entry{}, false
 	}
 	return e, ok
 }
 
-// take is lookup for commands that may change the key: it removes an expired entry.
-func (k *keys) take(key keyHash, nowMs int64) (entry, bool) {
+// lookupForUpdate is lookup for commands that may change the key: it removes an expired entry.
+func (k *keys) lookupForUpdate(key keyHash, nowMs int64) (entry, bool) {
 	e, ok := k.lookup(key, nowMs)
 	if !ok {
 		k.remove(key)
@@ -102,10 +102,10 @@
 }
 
 func (k *keys) store(key keyHash, e entry) {
-	old, held := k.entries[key]
+	old, known := k.entries[key]
 	k.entries[key] = e
-	if !held || old.untilMs/bucketMs != e.untilMs/bucketMs {
-		bucket := e.untilMs / bucketMs
+	if !known || old.expiresMs/bucketMs != e.expiresMs/bucketMs {
+		bucket := e.expiresMs / bucketMs
 		k.buckets[bucket] = append(k.buckets[bucket], key)
 	}
 }
@@ -116,61 +116,61 @@
 }
 
 // void makes later claims by the holder void.
-func (k *keys) void(key keyHash, by holder) {
+func (k *keys) void(key keyHash, claimant holder) {
 	list := k.voided[key]
-	if slices.Contains(list, by) {
+	if slices.Contains(list, claimant) {
 		return
 	}
 	if len(list) >= maxVoided {
 		list = slices.Delete(list, 0, 1)
 	}
-	k.voided[key] = append(list, by)
+	k.voided[key] = append(list, claimant)
 }
 
 // expire clears the buckets that lie entirely in the past. Which entries are held depends only on the commands, so
 // that replicas agree on when the ledger is full.
 func (k *keys) expire(nowMs int64) {
 	current := nowMs / bucketMs
-	if current == k.next {
+	if current == k.nextBucket {
 		return
 	}
-	if current-k.next > int64(len(k.buckets)) {
+	if current-k.nextBucket > int64(len(k.buckets)) {
 		for bucket := range k.buckets {
 			if bucket < current {
 				k.clear(bucket)
 			}
 		}
-		k.next = current
+		k.nextBucket = current
 	}
-	for ; k.next < current; k.next++ {
-		k.clear(k.next)
+	for ; k.nextBucket < current; k.nextBucket++ {
+		k.clear(k.nextBucket)
 	}
 }
 
 func (k *keys) clear(bucket int64) {
 	for _, key := range k.buckets[bucket] {
-		if e, ok := k.entries[key]; ok && e.untilMs/bucketMs <= bucket {
+		if e, ok := k.entries[key]; ok && e.expiresMs/bucketMs <= bucket {
 			k.remove(key)
 		}
 	}
 	delete(k.buckets, bucket)
 }
 
-// names numbers the executors, so that entries need not repeat them. Names are not removed before the next restore
+// nameTable numbers the executors, so that entries need not repeat them. Names are not removed before the next restore
 // from a snapshot; there are as many as nodes.
-type names struct {
-	list    []string
+type nameTable struct {
+	names   []string
 	numbers map[string]uint32
 }
 
-func newNames() names { return names{numbers: make(map[string]uint32)} }
+func newNameTable() nameTable { return nameTable{numbers: make(map[string]uint32)} }
 
-func (n *names) number(name string) uint32 {
+func (n *nameTable) numberOf(name string) uint32 {
 	if number, ok := n.numbers[name]; ok {
 		return number
 	}
-	number := uint32(len(n.list))
-	n.list = append(n.list, name)
+	number := uint32(len(n.names))
+	n.names = append(n.names, name)
 	n.numbers[name] = number
 	return number
 }
--- a/state/ledger/ledger.go
+++ b/state/ledger/ledger.go
@@ -137,13 +137,13 @@
 	config Config
 	nowMs  int64
 	keys
-	answers
-	executors names
+	responses
+	executors nameTable
 }
 
 // New returns an empty ledger.
 func New(c Config) *Ledger {
-	return &Ledger{config: c.withDefaults(), keys: newKeys(), answers: newAnswers(), executors: newNames()}
+	return &Ledger{config: c.withDefaults(), keys: newKeys(), responses: newResponses(), executors: newNameTable()}
 }
 
 // Apply applies a committed command.
@@ -189,94 +189,94 @@
 func (l *Ledger) advance(nowMs int64) {
 	l.nowMs = max(l.nowMs, nowMs)
 	l.keys.expire(l.nowMs)
-	l.answers.expire(l.nowMs, l.config.MaxTotalResponseBytes)
+	l.responses.expire(l.nowMs, l.config.MaxTotalResponseBytes)
 }
 
 func (l *Ledger) claim(c Claim) Result {
-	keyMs, dated := keyTime(c.Key)
-	if dated && !l.accepts(keyMs) {
+	keyMs, hasTime := keyTime(c.Key)
+	if hasTime && !l.acceptsKeyTime(keyMs) {
 		return Result{Status: Expired}
 	}
-	key, by := hashOf(c.Key), l.holder(c.Executor, c.Incarnation, c.Attempt)
-	e, held := l.take(key, l.nowMs)
+	key, claimant := hashKey(c.Key), l.holder(c.Executor, c.Incarnation, c.Attempt)
+	e, known := l.lookupForUpdate(key, l.nowMs)
 	switch {
-	case !held && len(l.entries) >= l.config.MaxKeys:
+	case !known && len(l.entries) >= l.config.MaxKeys:
 		return Result{Status: Full}
-	case held && !e.sameRequest(c.Route, c.RequestDigest):
+	case known && !e.sameRequest(c.Route, c.RequestDigest):
 		return Result{Status: KeyReused}
-	case held && e.status == Claimed && e.holder == by:
+	case known && e.status == Claimed && e.holder == claimant:
 		return l.result(Granted, c.Key, e)
-	case held && e.status != Released:
+	case known && e.status != Released:
 		return l.result(e.status, c.Key, e)
-	case slices.Contains(l.voided[key], by):
-		e.holder = by
+	case slices.Contains(l.voided[key], claimant):
+		e.holder = claimant
 		return l.result(Released, c.Key, e)
 	}
-	e = entry{status: Claimed, holder: by, request: requestOf(c.Route, c.RequestDigest)}
+	e = entry{status: Claimed, holder: claimant, request: hashRequest(c.Route, c.RequestDigest)}
 	// A key with a time in the future is kept until claims that carry it are refused for their age.
-	e.untilMs = max(l.nowMs, keyMs) + l.config.KeyRetention.Milliseconds()
+	e.expiresMs = max(l.nowMs, keyMs) + l.config.KeyRetention.Milliseconds()
 	l.store(key, e)
 	return l.result(Granted, c.Key, e)
 }
 
 func (l *Ledger) record(r Record) Result {
-	key, by := hashOf(r.Key), l.holder(r.Executor, r.Incarnation, r.Attempt)
-	e, held := l.take(key, l.nowMs)
-	if !held {
+	key, claimant := hashKey(r.Key), l.holder(r.Executor, r.Incarnation, r.Attempt)
+	e, known := l.lookupForUpdate(key, l.nowMs)
+	if !known {
 		return Result{Status: Absent}
 	}
-	if slices.Contains(l.voided[key], by) {
+	if slices.Contains(l.voided[key], claimant) {
 		invariant.Violated(invariant.FalseNotRun, "a released call has an answer", map[string]any{
 			"key": r.Key, "executor": r.Executor, "attempt": r.Attempt,
 		})
 	}
-	if e.status == Claimed && e.holder == by {
+	if e.status == Claimed && e.holder == claimant {
 		e.status = Done
-		e.answerStatus = uint16(r.Response.Status)
+		e.responseStatus = uint16(r.Response.Status)
 		l.store(key, e)
-		l.keep(key, r.Response)
+		l.storeResponse(key, r.Response)
 	}
 	return l.result(e.status, r.Key, e)
 }
 
-// keep stores an answer unless it is too large.
-func (l *Ledger) keep(key keyHash, a Response) {
-	if a.Dropped || a.Size() > l.config.MaxResponseBytes {
+// storeResponse stores an answer unless it is too large.
+func (l *Ledger) storeResponse(key keyHash, response Response) {
+	if response.Dropped || response.Size() > l.config.MaxResponseBytes {
 		return
 	}
-	l.answers.add(key, a, l.nowMs+l.config.ResponseRetention.Milliseconds())
-	l.answers.expire(l.nowMs, l.config.MaxTotalResponseBytes)
+	l.responses.add(key, response, l.nowMs+l.config.ResponseRetention.Milliseconds())
+	l.responses.expire(l.nowMs, l.config.MaxTotalResponseBytes)
 }
 
 // release ends the holder's claim. Whether or not it holds one, copies of its claim that arrive later are void: nothing
 // would run the call or give that claim back.
 func (l *Ledger) release(r Release) Result {
-	key, by := hashOf(r.Key), l.holder(r.Executor, r.Incarnation, r.Attempt)
-	e, held := l.take(key, l.nowMs)
+	key, claimant := hashKey(r.Key), l.holder(r.Executor, r.Incarnation, r.Attempt)
+	e, known := l.lookupForUpdate(key, l.nowMs)
 	releasedUntil := l.nowMs + l.config.ResponseRetention.Milliseconds()
 	switch {
-	case !held && len(l.entries) >= l.config.MaxKeys:
+	case !known && len(l.entries) >= l.config.MaxKeys:
 		return Result{Status: Absent}
-	case !held:
-		e = entry{status: Released, holder: by, untilMs: releasedUntil}
+	case !known:
+		e = entry{status: Released, holder: claimant, expiresMs: releasedUntil}
 		l.store(key, e)
-	case e.status == Claimed && e.holder == by:
-		e.status, e.untilMs = Released, releasedUntil
+	case e.status == Claimed && e.holder == claimant:
+		e.status, e.expiresMs = Released, releasedUntil
 		l.store(key, e)
 	case e.status == Done:
 		return l.result(Done, r.Key, e)
 	}
-	l.void(key, by)
+	l.void(key, claimant)
 	return l.result(e.status, r.Key, e)
 }
 
 // Lookup answers a query from this replica's state, which may lag behind that of the leader. It changes nothing.
 func (l *Ledger) Lookup(q Query) Result {
-	e, held := l.lookup(hashOf(q.Key), l.nowMs)
-	if keyMs, dated := keyTime(q.Key); !held && dated && !l.accepts(keyMs) {
+	e, known := l.lookup(hashKey(q.Key), l.nowMs)
+	if keyMs, hasTime := keyTime(q.Key); !known && hasTime && !l.acceptsKeyTime(keyMs) {
 		return Result{Status: Expired}
 	}
-	if !held {
+	if !known {
 		return Result{Status: Absent}
 	}
 	if q.RequestDigest != ([32]byte{}) && !e.sameRequest(q.Route, q.RequestDigest) {
@@ -285,32 +285,32 @@
 	return l.result(e.status, q.Key, e)
 }
 
-// accepts reports whether a key of this time may be claimed. Keys beyond the retention may have been forgotten; keys
+// acceptsKeyTime reports whether a key of this time may be claimed. Keys beyond the retention may have been forgotten; keys
 // as far in the future are refused because they would have to be kept for longer.
-func (l *Ledger) accepts(keyMs int64) bool {
+func (l *Ledger) acceptsKeyTime(keyMs int64) bool {
 	age := l.nowMs - keyMs
 	retention := l.config.KeyRetention.Milliseconds()
 	return age < retention && age > -retention
 }
 
 func (l *Ledger) holder(executor string, incarnation, attempt uint64) holder {
-	return holder{executor: l.executors.number(executor), incarnation: incarnation, attempt: attempt}
+	return holder{executor: l.executors.numberOf(executor), incarnation: incarnation, attempt: attempt}
 }
 
 func (l *Ledger) result(status Status, key string, e entry) Result {
 	r := Result{Status: status, Holder: Claim{
 		Key:         key,
-		Executor:    l.executors.list[e.holder.executor],
+		Executor:    l.executors.names[e.holder.executor],
 		Incarnation: e.holder.incarnation,
 		Attempt:     e.holder.attempt,
 	}}
 	if status != Done {
 		return r
 	}
-	if a, ok := l.answers.get(hashOf(key)); ok {
-		r.Response = a
+	if response, ok := l.responses.get(hashKey(key)); ok {
+		r.Response = response
 		return r
 	}
-	r.Response = &Response{Status: int(e.answerStatus), Dropped: true}
+	r.Response = &Response{Status: int(e.responseStatus), Dropped: true}
 	return r
 }
--- a/state/ledger/ledger_test.go
+++ b/state/ledger/ledger_test.go
@@ -49,9 +49,9 @@
 	}}
 }
 
-func (a attempt) record(nowMs int64, answer ledger.Response) ledger.Command {
+func (a attempt) record(nowMs int64, response ledger.Response) ledger.Command {
 	return ledger.Command{NowMs: nowMs, Record: &ledger.Record{
-		Key: a.key, Executor: a.executor, Incarnation: a.incarnation, Attempt: a.number, Response: answer,
+		Key: a.key, Executor: a.executor, Incarnation: a.incarnation, Attempt: a.number, Response: response,
 	}}
 }
 
@@ -80,8 +80,8 @@
 }
 
 var (
-	first  = attempt{"k", "a", 1, 1}
-	answer = ledger.Response{Status: 201, Header: map[string][]string{"Location": {"/p/1"}}, Body: []byte("promoted")}
+	first    = attempt{"k", "a", 1, 1}
+	response = ledger.Response{Status: 201, Header: map[string][]string{"Location": {"/p/1"}}, Body: []byte("promoted")}
 )
 
 var _ = Describe("Ledger", func() {
@@ -96,7 +96,7 @@
 			result := l.Apply(other.claim(startMs))
 			Expect(result.Status).To(Equal(ledger.Claimed), "also for a later incarnation of the same node")
 			Expect(result.Holder).To(Equal(ledger.Claim{Key: "k", Executor: "a", Incarnation: 1, Attempt: 1}))
-			Expect(apply(other.record(startMs, answer))).To(Equal(ledger.Claimed))
+			Expect(apply(other.record(startMs, response))).To(Equal(ledger.Claimed))
 			Expect(apply(other.release(startMs))).To(Equal(ledger.Claimed))
 		}
 		Expect(apply(query("k", startMs+6*dayMs))).To(Equal(ledger.Claimed), "an unresolved claim stays")
@@ -104,13 +104,13 @@
 
 	It("keeps the first answer and gives it to every resend", func() {
 		apply(first.claim(startMs))
-		Expect(apply(first.record(startMs, answer))).To(Equal(ledger.Done))
+		Expect(apply(first.record(startMs, response))).To(Equal(ledger.Done))
 		Expect(apply(first.record(startMs, ledger.Response{Status: 500}))).To(Equal(ledger.Done))
 		Expect(apply(first.release(startMs))).To(Equal(ledger.Done))
 		for _, c := range []ledger.Command{first.claim(startMs), attempt{"k", "b", 1, 1}.claim(startMs), query("k", startMs)} {
 			result := l.Apply(c)
 			Expect(result.Status).To(Equal(ledger.Done))
-			Expect(*result.Response).To(Equal(answer))
+			Expect(*result.Response).To(Equal(response))
 		}
 	})
 
@@ -132,7 +132,7 @@
 		before := invariant.Counts()[invariant.FalseNotRun]
 		apply(first.claim(startMs))
 		apply(first.release(startMs))
-		Expect(apply(first.record(startMs, answer))).To(Equal(ledger.Released))
+		Expect(apply(first.record(startMs, response))).To(Equal(ledger.Released))
 		Expect(invariant.Counts()[invariant.FalseNotRun]).To(Equal(before + 1))
 	})
 
@@ -151,7 +151,7 @@
 
 	It("drops answers after 1 h and keys after 7 days, and never goes back in time", func() {
 		apply(first.claim(startMs))
-		apply(first.record(startMs, answer))
+		apply(first.record(startMs, response))
 		Expect(l.Apply(query("k", startMs+hourMs-1)).Response.Dropped).To(BeFalse())
 		result := l.Apply(query("k", startMs+hourMs))
 		Expect(result.Status).To(Equal(ledger.Done))
@@ -248,7 +248,7 @@
 			now := startMs + int64(i)*600 // a million keys in 7 days
 			a := attempt{fmt.Sprintf("key-%d", i), fmt.Sprintf("node-%d", i%1000), 1, uint64(i)}
 			l.Apply(a.claim(now))
-			l.Apply(a.record(now, answer))
+			l.Apply(a.record(now, response))
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -269,6 +269,6 @@
 		i++
 		a := attempt{fmt.Sprintf("key-%d", i), "node", 1, uint64(i)}
 		l.Apply(a.claim(startMs + int64(i)))
-		l.Apply(a.record(startMs+int64(i), answer))
+		l.Apply(a.record(startMs+int64(i), response))
 	}
 }
--- a/state/ledger/snapshot.go
+++ b/state/ledger/snapshot.go
@@ -16,22 +16,22 @@
 
 // snapshot is the encoded state. Keys are in ascending order, executors in the order of their names.
 type snapshot struct {
-	Format    uint             `cbor:"1,keyasint"`
-	NowMs     int64            `cbor:"2,keyasint"`
-	Executors []string         `cbor:"3,keyasint"`
-	Keys      []snapshotKey    `cbor:"4,keyasint"`
-	Answers   []snapshotAnswer `cbor:"5,keyasint"`
+	Format    uint               `cbor:"1,keyasint"`
+	NowMs     int64              `cbor:"2,keyasint"`
+	Executors []string           `cbor:"3,keyasint"`
+	Keys      []snapshotKey      `cbor:"4,keyasint"`
+	Responses []snapshotResponse `cbor:"5,keyasint"`
 }
 
 type snapshotKey struct {
-	_            struct{} `cbor:",toarray"`
-	Key          keyHash
-	Request      requestHash
-	Status       Status
-	AnswerStatus uint16
-	UntilMs      int64
-	Holder       snapshotHolder
-	Voided       []snapshotHolder
+	_              struct{} `cbor:",toarray"`
+	Key            keyHash
+	Request        requestHash
+	Status         Status
+	ResponseStatus uint16
+	ExpiresMs      int64
+	Holder         snapshotHolder
+	Voided         []snapshotHolder
 }
 
 type snapshotHolder struct {
@@ -41,11 +41,11 @@
 	Attempt     uint64
 }
 
-type snapshotAnswer struct {
-	_       struct{} `cbor:",toarray"`
-	Key     keyHash
-	UntilMs int64
-	Answer  Response
+type snapshotResponse struct {
+	_         struct{} `cbor:",toarray"`
+	Key       keyHash
+	ExpiresMs int64
+	Response  Response
 }
 
 var encoding = mustEncMode(cbor.CoreDetEncOptions())
@@ -78,7 +78,7 @@
 	}
 	for key, e := range l.entries {
 		converted := snapshotKey{
-			Key: key, Request: e.request, Status: e.status, AnswerStatus: e.answerStatus, UntilMs: e.untilMs,
+			Key: key, Request: e.request, Status: e.status, ResponseStatus: e.responseStatus, ExpiresMs: e.expiresMs,
 			Holder: convert(e.holder),
 		}
 		for _, h := range l.voided[key] {
@@ -87,8 +87,8 @@
 		s.Keys = append(s.Keys, converted)
 	}
 	slices.SortFunc(s.Keys, func(a, b snapshotKey) int { return bytes.Compare(a.Key[:], b.Key[:]) })
-	for _, stored := range l.answers.queue {
-		s.Answers = append(s.Answers, snapshotAnswer{Key: stored.key, UntilMs: stored.untilMs, Answer: *stored.answer})
+	for _, stored := range l.responses.queue {
+		s.Responses = append(s.Responses, snapshotResponse{Key: stored.key, ExpiresMs: stored.expiresMs, Response: *stored.response})
 	}
 	data, err := encoding.Marshal(s)
 	return data, errors.Wrap(err, "ledger: encode snapshot")
@@ -105,7 +105,7 @@
 	}
 	var list []string
 	for old := range numbers {
-		list = append(list, l.executors.list[old])
+		list = append(list, l.executors.names[old])
 	}
 	slices.Sort(list)
 	for i, name := range list {
@@ -125,29 +125,29 @@
 	}
 	l := New(c)
 	l.nowMs = s.NowMs
-	l.keys.next = s.NowMs / bucketMs
+	l.keys.nextBucket = s.NowMs / bucketMs
 	for _, name := range s.Executors {
-		l.executors.number(name)
+		l.executors.numberOf(name)
 	}
 	for _, key := range s.Keys {
 		if err := l.restoreKey(key); err != nil {
 			return nil, err
 		}
 	}
-	for _, a := range s.Answers {
-		l.answers.add(a.Key, a.Answer, a.UntilMs)
+	for _, stored := range s.Responses {
+		l.responses.add(stored.Key, stored.Response, stored.ExpiresMs)
 	}
 	return l, nil
 }
 
 func (l *Ledger) restoreKey(s snapshotKey) error {
 	for _, h := range append([]snapshotHolder{s.Holder}, s.Voided...) {
-		if int(h.Executor) >= len(l.executors.list) {
+		if int(h.Executor) >= len(l.executors.names) {
 			return errors.Wrapf(ErrCorruptSnapshot, "executor %d", h.Executor)
 		}
 	}
 	l.store(s.Key, entry{
-		request: s.Request, status: s.Status, answerStatus: s.AnswerStatus, untilMs: s.UntilMs, holder: s.Holder.restore(),
+		request: s.Request, status: s.Status, responseStatus: s.ResponseStatus, expiresMs: s.ExpiresMs, holder: s.Holder.restore(),
 	})
 	for _, h := range s.Voided {
 		l.void(s.Key, h.restore())
--- a/state/ledger/status.go
+++ b/state/ledger/stats.go
@@ -15,9 +15,9 @@
 func (l *Ledger) Stats() Stats {
 	stats := Stats{
 		NowMs:         l.nowMs,
-		Responses:     len(l.answers.byKey),
-		ResponseBytes: l.answers.total,
-		Executors:     len(l.executors.list),
+		Responses:     len(l.responses.byKey),
+		ResponseBytes: l.responses.totalBytes,
+		Executors:     len(l.executors.names),
 	}
 	for _, e := range l.entries {
 		switch e.status {
