--- a/state/ledger/keys.go
+++ b/state/ledger/keys.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// bucketMs is the width of the buckets in which keys expire.
+	// bucketMs is the width of the time buckets in which keys expire.
 	bucketMs = 60_000
-	// maxVoided bounds the released attempts that are remembered for a key. If a copy of an older claim arrives after
-	// all, it is granted to a holder that no longer exists, and the key stays claimed: no call runs twice.
+	// maxVoided bounds the released attempts that are remembered for a key. If a copy of an older claim still arrives, it
+	// is granted to an attempt that has ended, and the key stays claimed until it expires: the call does not run twice.
 	maxVoided = 8
 )
 
-// keyHash is the truncated SHA-256 of a key; it makes entries small and equal in size.
+// keyHash is the truncated SHA-256 of a key, so that entries are small and of equal size.
 type keyHash [16]byte
 
 func hashKey(key string) keyHash {
@@ -24,8 +24,8 @@
 	return keyHash(sum[:len(keyHash{})])
 }
 
-// requestHash is the truncated SHA-256 of a route and a request digest. It is zero for released keys whose claim has
-// not arrived.
+// requestHash is the truncated SHA-256 of a request digest and a route. It is zero for a key whose release arrived before
+// its claim.
 type requestHash [16]byte
 
 func hashRequest(route string, digest [32]byte) requestHash {
@@ -33,7 +33,7 @@
 	return requestHash(sum[:len(requestHash{})])
 }
 
-// keyTime returns the time in a UUIDv7 key, in milliseconds since 1970.
+// keyTime returns the time in a UUIDv7 key, in milliseconds since 1970, or false for other keys.
 func keyTime(key string) (int64, bool) {
 	const timeBytes = 6
 	id, err := uuid.Parse(key)
@@ -45,7 +45,7 @@
 	return int64(binary.BigEndian.Uint64(raw[:])), true
 }
 
-// holder identifies an attempt at an executor.
+// holder identifies an attempt of an executor, which may hold the claim of a key.
 type holder struct {
 	incarnation uint64
 	attempt     uint64
@@ -61,15 +61,17 @@
 	status         Status // Claimed, Done or Released
 }
 
+// sameRequest reports whether the entry belongs to a request. An entry whose request is not known matches all.
 func (e entry) sameRequest(route string, digest [32]byte) bool {
 	return e.request == requestHash{} || e.request == hashRequest(route, digest)
 }
 
-// keys holds the entries and the order in which they expire.
+// keys holds the state of all keys and drops the expired ones.
 type keys struct {
 	entries map[keyHash]entry
-	voided  map[keyHash][]holder
-	// buckets lists the keys by the bucket of their expiry. A key whose expiry changed is listed more than once.
+	// voided lists the attempts whose claims are not granted any more, oldest first.
+	voided map[keyHash][]holder
+	// buckets lists the keys by the time bucket of their expiry. A key whose expiry has changed can be in several.
 	buckets map[int64][]keyHash
 	// nextBucket is the first bucket that is not yet cleared.
 	nextBucket int64
@@ -83,7 +85,7 @@
 	}
 }
 
-// lookup returns the entry of a key unless it has expired. It changes nothing.
+// lookup returns the entry of a key unless it has expired. It does not change the state.
 func (k *keys) lookup(key keyHash, nowMs int64) (entry, bool) {
 	e, ok := k.entries[key]
 	if ok && e.expiresMs <= nowMs {
@@ -92,7 +94,7 @@
 	return e, ok
 }
 
-// lookupForUpdate is lookup for commands that may change the key: it removes an expired entry.
+// lookupForUpdate is like lookup, but removes an expired entry.
 func (k *keys) lookupForUpdate(key keyHash, nowMs int64) (entry, bool) {
 	e, ok := k.lookup(key, nowMs)
 	if !ok {
@@ -115,7 +117,7 @@
 	delete(k.voided, key)
 }
 
-// void makes later claims by the holder void.
+// void records that later copies of an attempt's claim are not to be granted.
 func (k *keys) void(key keyHash, claimant holder) {
 	list := k.voided[key]
 	if slices.Contains(list, claimant) {
@@ -127,8 +129,8 @@
 	k.voided[key] = append(list, claimant)
 }
 
-// expire clears the buckets that lie entirely in the past. Which entries are held depends only on the commands, so
-// that replicas agree on when the ledger is full.
+// expire clears the buckets that lie entirely in the past. Which entries remain depends only on the commands and not on
+// lookups, so that all replicas agree on when the ledger is full.
 func (k *keys) expire(nowMs int64) {
 	current := nowMs / bucketMs
 	if current == k.nextBucket {
@@ -147,6 +149,7 @@
 	}
 }
 
+// clear removes the keys of a bucket, except for those that now expire in a later one.
 func (k *keys) clear(bucket int64) {
 	for _, key := range k.buckets[bucket] {
 		if e, ok := k.entries[key]; ok && e.expiresMs/bucketMs <= bucket {
@@ -156,8 +159,8 @@
 	delete(k.buckets, bucket)
 }
 
-// nameTable numbers the executors, so that entries need not repeat them. Names are not removed before the next restore
-// from a snapshot; there are as many as nodes.
+// nameTable assigns numbers to the names of executors, so that entries hold a number instead of a name. It grows to the
+// number of nodes; names that are no longer in use are dropped when the ledger is restored from a snapshot.
 type nameTable struct {
 	names   []string
 	numbers map[string]uint32
--- a/state/ledger/ledger.go
+++ b/state/ledger/ledger.go
@@ -1,5 +1,6 @@
-// Package ledger is the replicated state machine that lets an irreversible call run at most once. All replicas that
-// apply the same commands hold the same state; time enters only through the commands.
+// Package ledger implements the replicated state machine that ensures that an irreversible call runs at most once. It is
+// deterministic: the same commands in the same order give the same state on every replica, and the time is part of the
+// commands.
 package ledger
 
 import (
@@ -10,17 +11,17 @@
 	"sapphiregate.example/sapphiregate/invariant"
 )
 
-// Response is the response of an irreversible call.
+// Response is the response of an upstream to an irreversible call.
 type Response struct {
 	Status int                 `cbor:"1,keyasint"`
 	Header map[string][]string `cbor:"2,keyasint,omitempty"`
 	Body   []byte              `cbor:"3,keyasint,omitempty"`
-	// Dropped means that the call is done but that header and body are not kept: too large, or too old.
+	// Dropped means that the call is done, but its header and body are not kept because they were too large or too old.
 	Dropped bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Claim asks for the right to run a call. Attempt must be unique within an incarnation of the executor, and an
-// incarnation must never return: a claim that is repeated by its holder is granted again.
+// Claim asks for the right to run a call. A claim that its holder sends again is granted again. Attempt must therefore be
+// unique within an incarnation of the executor, and a restarted executor must use a new incarnation.
 type Claim struct {
 	Key           string   `cbor:"1,keyasint"`
 	Route         string   `cbor:"2,keyasint"`
@@ -30,7 +31,7 @@
 	Attempt       uint64   `cbor:"6,keyasint"`
 }
 
-// Record stores the answer of a call. It is valid only from the holder of the claim.
+// Record stores the response of a call. It takes effect only if it comes from the holder of the claim.
 type Record struct {
 	Key         string   `cbor:"1,keyasint"`
 	Executor    string   `cbor:"2,keyasint"`
@@ -39,8 +40,8 @@
 	Response    Response `cbor:"5,keyasint"`
 }
 
-// Release gives a claim back: the call was proved not run. It is valid only from the holder of the claim. It also
-// voids copies of the claim that arrive later.
+// Release gives up a claim after a call that was certainly not run. It ends the claim only if it comes from its holder.
+// In any case, copies of the sender's claim that arrive later are not granted.
 type Release struct {
 	Key         string `cbor:"1,keyasint"`
 	Executor    string `cbor:"2,keyasint"`
@@ -48,67 +49,67 @@
 	Attempt     uint64 `cbor:"4,keyasint"`
 }
 
-// Query asks for the state of a key. With a zero RequestDigest, the request is not compared with that of the claim.
+// Query asks for the state of a key. If RequestDigest is zero, the request is not compared with that of the claim.
 type Query struct {
 	Key           string   `cbor:"1,keyasint"`
 	RequestDigest [32]byte `cbor:"2,keyasint,omitzero"`
 	Route         string   `cbor:"3,keyasint,omitempty"`
 }
 
-// Command is one entry of the replicated log. One of the pointers is set.
+// Command is one entry of the replicated log. Exactly one of the pointers is set.
 type Command struct {
 	Claim   *Claim   `cbor:"1,keyasint,omitempty"`
 	Record  *Record  `cbor:"2,keyasint,omitempty"`
 	Release *Release `cbor:"3,keyasint,omitempty"`
 	Query   *Query   `cbor:"4,keyasint,omitempty"`
-	// NowMs is the leader's wall clock in milliseconds since 1970. The ledger's time never goes back.
+	// NowMs is the leader's wall clock in milliseconds since 1970. If it is behind that of an earlier command, the ledger
+	// keeps the later time.
 	NowMs int64 `cbor:"5,keyasint"`
 }
 
 // Status is the state of a key after a command.
 type Status uint8
 
-// The statuses.
 const (
 	// Granted means that the sender of the claim holds it and may run the call.
 	Granted Status = iota
 	// Claimed means that Holder holds the claim. The call may have run.
 	Claimed
-	// Done means that the call ran. Result.Answer is set.
+	// Done means that the call ran. Result.Response is set.
 	Done
-	// Released means that the last claim was given back; the call was not run.
+	// Released means that the last claim was released; the call was not run.
 	Released
 	// KeyReused means that the key belongs to a different request.
 	KeyReused
-	// Expired means that the key is too old, or too far in the future, to be accepted.
+	// Expired means that the time in the key is too far in the past or in the future.
 	Expired
 	// Absent means that the ledger does not know the key.
 	Absent
-	// Full means that the ledger holds as many keys as it may; the claim was not granted.
+	// Full means that the ledger has reached Config.MaxKeys; the claim was not granted.
 	Full
-	// Invalid means that the command is not well-formed.
+	// Invalid means that the command does not have exactly one part, or has an empty key.
 	Invalid
 )
 
-// Result is the effect of a command.
+// Result is the result of a command.
 type Result struct {
 	Status Status `cbor:"1,keyasint"`
-	// Holder is the current or last holder of the claim. Its Route and RequestDigest are not filled in.
+	// Holder is the current or last holder of the claim. Its Route and RequestDigest are not set.
 	Holder   Claim     `cbor:"2,keyasint,omitzero"`
 	Response *Response `cbor:"3,keyasint,omitempty"`
 }
 
 // Config holds the limits of a Ledger. All replicas must use the same values. Zero fields take the defaults.
 type Config struct {
-	// KeyRetention is the time for which keys are kept.
+	// KeyRetention is the time for which keys are kept after their claim.
 	KeyRetention time.Duration
-	// ResponseRetention is the time for which answers and released claims are kept.
+	// ResponseRetention is the time for which responses and released claims are kept.
 	ResponseRetention time.Duration
-	// MaxResponseBytes bounds one answer; larger ones are stored as dropped.
+	// MaxResponseBytes bounds one response. Larger ones are stored as dropped.
 	MaxResponseBytes int
-	// MaxTotalResponseBytes bounds all answers; the oldest are dropped first.
+	// MaxTotalResponseBytes bounds all responses together. The oldest are dropped first.
 	MaxTotalResponseBytes int
-	// MaxKeys bounds the keys; further claims get Full.
+	// MaxKeys bounds the number of keys. Further claims get Full.
 	MaxKeys int
 }
 
@@ -117,7 +118,7 @@
 	DefaultKeyRetention      = 7 * 24 * time.Hour
 	DefaultResponseRetention = time.Hour
 	DefaultMaxResponseBytes  = 64 << 10
-	// DefaultMaxTotalResponseBytes holds 1,000 answers of the greatest size.
+	// DefaultMaxTotalResponseBytes is enough for 1,000 responses of the greatest size.
 	DefaultMaxTotalResponseBytes = 64 << 20
 	// DefaultMaxKeys takes 760 MB at 190 bytes a key and serves 6.6 irreversible calls/s over 7 days.
 	DefaultMaxKeys = 4_000_000
@@ -146,7 +147,7 @@
 	return &Ledger{config: c.withDefaults(), keys: newKeys(), responses: newResponses(), executors: newNameTable()}
 }
 
-// Apply applies a committed command.
+// Apply executes a committed command and returns its result.
 func (l *Ledger) Apply(c Command) Result {
 	l.advance(c.NowMs)
 	if !c.valid() {
@@ -164,10 +165,10 @@
 	}
 }
 
-// Len returns the number of keys that are held.
+// Len returns the number of keys, including expired ones that are not removed yet.
 func (l *Ledger) Len() int { return len(l.entries) }
 
-// valid reports whether one field is set and names a key.
+// valid reports whether exactly one part of the command is set and its key is not empty.
 func (c Command) valid() bool {
 	set, key := 0, ""
 	if c.Claim != nil {
@@ -185,13 +186,14 @@
 	return set == 1 && key != ""
 }
 
-// advance moves the time, which never goes back when another leader's clock is behind, and drops what has expired.
+// advance sets the time, unless the clock of a new leader is behind that of an earlier one, and drops what has expired.
 func (l *Ledger) advance(nowMs int64) {
 	l.nowMs = max(l.nowMs, nowMs)
 	l.keys.expire(l.nowMs)
 	l.responses.expire(l.nowMs, l.config.MaxTotalResponseBytes)
 }
 
+// claim grants the claim if the key is unknown or released, or if the claimant holds the claim already.
 func (l *Ledger) claim(c Claim) Result {
 	keyMs, hasTime := keyTime(c.Key)
 	if hasTime && !l.acceptsKeyTime(keyMs) {
@@ -213,12 +215,13 @@
 		return l.result(Released, c.Key, e)
 	}
 	e = entry{status: Claimed, holder: claimant, request: hashRequest(c.Route, c.RequestDigest)}
-	// A key with a time in the future is kept until claims that carry it are refused for their age.
+	// A key with a time in the future is kept until claims with this key are refused as too old.
 	e.expiresMs = max(l.nowMs, keyMs) + l.config.KeyRetention.Milliseconds()
 	l.store(key, e)
 	return l.result(Granted, c.Key, e)
 }
 
+// record completes the call with its response if the sender holds the claim.
 func (l *Ledger) record(r Record) Result {
 	key, claimant := hashKey(r.Key), l.holder(r.Executor, r.Incarnation, r.Attempt)
 	e, known := l.lookupForUpdate(key, l.nowMs)
@@ -226,7 +229,7 @@
 		return Result{Status: Absent}
 	}
 	if slices.Contains(l.voided[key], claimant) {
-		invariant.Violated(invariant.FalseNotRun, "a released call has an answer", map[string]any{
+		invariant.Violated(invariant.FalseNotRun, "a released call has a response", map[string]any{
 			"key": r.Key, "executor": r.Executor, "attempt": r.Attempt,
 		})
 	}
@@ -239,7 +242,7 @@
 	return l.result(e.status, r.Key, e)
 }
 
-// storeResponse stores an answer unless it is too large.
+// storeResponse stores a response unless it is too large.
 func (l *Ledger) storeResponse(key keyHash, response Response) {
 	if response.Dropped || response.Size() > l.config.MaxResponseBytes {
 		return
@@ -248,8 +251,8 @@
 	l.responses.expire(l.nowMs, l.config.MaxTotalResponseBytes)
 }
 
-// release ends the holder's claim. Whether or not it holds one, copies of its claim that arrive later are void: nothing
-// would run the call or give that claim back.
+// release ends the claim if the sender holds it. In any case, copies of the sender's claim that arrive later are void: if
+// one were granted, no attempt would run the call or release the claim.
 func (l *Ledger) release(r Release) Result {
 	key, claimant := hashKey(r.Key), l.holder(r.Executor, r.Incarnation, r.Attempt)
 	e, known := l.lookupForUpdate(key, l.nowMs)
@@ -270,7 +273,8 @@
 	return l.result(e.status, r.Key, e)
 }
 
-// Lookup answers a query from this replica's state, which may lag behind that of the leader. It changes nothing.
+// Lookup returns the result of a query from this replica's state, which may lag behind that of the leader. It does not
+// change the state.
 func (l *Ledger) Lookup(q Query) Result {
 	e, known := l.lookup(hashKey(q.Key), l.nowMs)
 	if keyMs, hasTime := keyTime(q.Key); !known && hasTime && !l.acceptsKeyTime(keyMs) {
@@ -285,8 +289,8 @@
 	return l.result(e.status, q.Key, e)
 }
 
-// acceptsKeyTime reports whether a key of this time may be claimed. Keys beyond the retention may have been forgotten; keys
-// as far in the future are refused because they would have to be kept for longer.
+// acceptsKeyTime reports whether a key with this time may be claimed. A key older than KeyRetention may have been dropped
+// after its call ran. A key as far in the future would have to be kept for twice KeyRetention or longer.
 func (l *Ledger) acceptsKeyTime(keyMs int64) bool {
 	age := l.nowMs - keyMs
 	retention := l.config.KeyRetention.Milliseconds()
@@ -297,6 +301,7 @@
 	return holder{executor: l.executors.numberOf(executor), incarnation: incarnation, attempt: attempt}
 }
 
+// result returns a result with the holder of an entry and, if the status is Done, the response.
 func (l *Ledger) result(status Status, key string, e entry) Result {
 	r := Result{Status: status, Holder: Claim{
 		Key:         key,
--- a/state/ledger/ledger_test.go
+++ b/state/ledger/ledger_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestLedger(t *testing.T) {
-	// A fixed seed gives every run the same verdict, and makes files that repeat a failure unnecessary.
+	// With a fixed seed, every run draws the same cases, and a file that repeats a failure is not needed.
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
 			t.Fatal(err)
@@ -34,7 +34,7 @@
 	dayMs   = 24 * hourMs
 )
 
-// attempt is one attempt at an executor; its commands are stamped with a time.
+// attempt is one attempt of an executor at the call under a key. Its methods return commands with a given time.
 type attempt struct {
 	key         string
 	executor    string
@@ -89,7 +89,7 @@
 	BeforeEach(func() { l = ledger.New(ledger.Config{}) })
 	apply := func(c ledger.Command) ledger.Status { return l.Apply(c).Status }
 
-	It("grants a claim to one attempt, again if it asks again, and to nobody else", func() {
+	It("grants a claim to one attempt only, and again if that attempt sends it again", func() {
 		Expect(apply(first.claim(startMs))).To(Equal(ledger.Granted))
 		Expect(apply(first.claim(startMs))).To(Equal(ledger.Granted))
 		for _, other := range []attempt{{"k", "b", 1, 1}, {"k", "a", 1, 2}, {"k", "a", 2, 1}} {
@@ -102,7 +102,7 @@
 		Expect(apply(query("k", startMs+6*dayMs))).To(Equal(ledger.Claimed), "an unresolved claim stays")
 	})
 
-	It("keeps the first answer and gives it to every resend", func() {
+	It("keeps the first response and returns it whenever the call is sent again", func() {
 		apply(first.claim(startMs))
 		Expect(apply(first.record(startMs, response))).To(Equal(ledger.Done))
 		Expect(apply(first.record(startMs, ledger.Response{Status: 500}))).To(Equal(ledger.Done))
@@ -114,7 +114,7 @@
 		}
 	})
 
-	It("lets another attempt claim after a release, and voids late copies of the released claim", func() {
+	It("grants the claim to another attempt after a release, and no late copy of the released claim", func() {
 		apply(first.claim(startMs))
 		Expect(apply(first.release(startMs))).To(Equal(ledger.Released))
 		Expect(apply(first.claim(startMs))).To(Equal(ledger.Released))
@@ -124,11 +124,11 @@
 		Expect(apply(second.claim(startMs))).To(Equal(ledger.Granted), "the old holder's release is not valid")
 
 		early := attempt{"early", "a", 1, 2}
-		Expect(apply(early.release(startMs))).To(Equal(ledger.Released), "the release overtook the claim")
+		Expect(apply(early.release(startMs))).To(Equal(ledger.Released), "the release arrives before the claim")
 		Expect(apply(early.claim(startMs))).To(Equal(ledger.Released))
 	})
 
-	It("reports an answer of a released call as a violation", func() {
+	It("reports a response of a released call as an invariant violation", func() {
 		before := invariant.Counts()[invariant.FalseNotRun]
 		apply(first.claim(startMs))
 		apply(first.release(startMs))
@@ -149,7 +149,7 @@
 		Expect(apply(reused)).To(Equal(ledger.KeyReused))
 	})
 
-	It("drops answers after 1 h and keys after 7 days, and never goes back in time", func() {
+	It("drops responses after 1 h and keys after 7 days, and ignores a time that goes back", func() {
 		apply(first.claim(startMs))
 		apply(first.record(startMs, response))
 		Expect(l.Apply(query("k", startMs+hourMs-1)).Response.Dropped).To(BeFalse())
@@ -163,11 +163,11 @@
 		Expect(l.Len()).To(BeZero())
 	})
 
-	It("refuses UUIDv7 keys that it may have forgotten", func() {
+	It("refuses UUIDv7 keys that it may have dropped", func() {
 		Expect(apply(attempt{keyAt(startMs - 7*dayMs), "a", 1, 1}.claim(startMs))).To(Equal(ledger.Expired))
 		Expect(apply(attempt{keyAt(startMs + 7*dayMs), "a", 1, 1}.claim(startMs))).To(Equal(ledger.Expired))
 		Expect(apply(query(keyAt(startMs-7*dayMs), startMs))).To(Equal(ledger.Expired))
-		// At every time, a dated key is either held or refused: it can never be claimed twice.
+		// A key with a time is either known or refused at any moment, so that it cannot be claimed twice.
 		for _, offset := range []int64{-6 * dayMs, -hourMs, 0, hourMs, 6 * dayMs} {
 			l = ledger.New(ledger.Config{})
 			key := keyAt(startMs + offset)
@@ -178,7 +178,7 @@
 		}
 	})
 
-	It("bounds keys and answers", func() {
+	It("bounds the keys and the responses", func() {
 		l = ledger.New(ledger.Config{MaxKeys: 3, MaxResponseBytes: 100, MaxTotalResponseBytes: 150})
 		for i, size := range []int{101, 90, 90} {
 			a := attempt{fmt.Sprint(i), "a", 1, uint64(i)}
@@ -236,7 +236,7 @@
 	})
 })
 
-// BenchmarkKeys measures the memory and the snapshot bytes of a key that is done and whose answer has expired.
+// BenchmarkKeys measures the memory and the snapshot bytes of a key whose call is done and whose response has expired.
 func BenchmarkKeys(b *testing.B) {
 	const count = 1_000_000
 	var before, after runtime.MemStats
--- a/state/ledger/responses.go
+++ b/state/ledger/responses.go
@@ -1,18 +1,19 @@
 package ledger
 
-// storedResponse is an answer and its place in the order of expiry.
+// storedResponse is a response in the queue of expiry.
 type storedResponse struct {
 	key       keyHash
 	expiresMs int64
-	size      int
+	size      int // bytes
 	response  *Response
 }
 
-// responses holds the responses in the order in which they were recorded, which is the order in which they expire.
+// responses holds the responses of calls. The queue is in the order in which they were recorded, which is also the order
+// in which they expire.
 type responses struct {
 	byKey      map[keyHash]*Response
 	queue      []storedResponse
-	totalBytes int // bytes
+	totalBytes int
 }
 
 func newResponses() responses { return responses{byKey: make(map[keyHash]*Response)} }
@@ -28,11 +29,11 @@
 	r.totalBytes += response.Size()
 }
 
-// expire drops answers that are too old, and the oldest ones while all together are too large.
+// expire drops the responses that have expired, and further ones, oldest first, while the total exceeds maxTotalBytes.
 func (r *responses) expire(nowMs int64, maxTotalBytes int) {
 	for len(r.queue) > 0 && (r.queue[0].expiresMs <= nowMs || r.totalBytes > maxTotalBytes) {
 		first := r.queue[0]
-		r.queue[0] = storedResponse{} // lets the answer be collected before the queue's array is replaced
+		r.queue[0] = storedResponse{} // lets the response be garbage collected before append replaces the array
 		r.queue = r.queue[1:]
 		r.totalBytes -= first.size
 		if r.byKey[first.key] == first.response {
@@ -41,7 +42,7 @@
 	}
 }
 
-// Size returns the bytes that an answer takes, without the overhead of its containers.
+// Size returns the size of the header and body in bytes, without the overhead of maps and slices.
 func (r Response) Size() int {
 	size := len(r.Body)
 	for name, values := range r.Header {
--- a/state/ledger/snapshot.go
+++ b/state/ledger/snapshot.go
@@ -11,10 +11,11 @@
 // ErrCorruptSnapshot reports a snapshot that cannot be restored.
 var ErrCorruptSnapshot = errors.New("ledger: corrupt snapshot")
 
-// snapshotFormat is raised when the encoding changes.
+// snapshotFormat is the version of the snapshot encoding.
 const snapshotFormat = 1
 
-// snapshot is the encoded state. Keys are in ascending order, executors in the order of their names.
+// snapshot is the content of a snapshot. Keys are in ascending order, executors in the order of their names, so that equal
+// states have equal encodings.
 type snapshot struct {
 	Format    uint               `cbor:"1,keyasint"`
 	NowMs     int64              `cbor:"2,keyasint"`
@@ -58,7 +59,7 @@
 	return mode
 }
 
-// decoding admits arrays as long as the ledger may have keys.
+// decoding allows the longest arrays, as the default limit is below the number of keys that a ledger may have.
 var decoding = mustDecMode(cbor.DecOptions{MaxArrayElements: 1<<31 - 1})
 
 func mustDecMode(options cbor.DecOptions) cbor.DecMode {
@@ -94,7 +95,8 @@
 	return data, errors.Wrap(err, "ledger: encode snapshot")
 }
 
-// usedExecutors returns the executors that entries refer to, in order, and their new numbers by their old ones.
+// usedExecutors returns the sorted names of the executors that entries refer to, and maps their numbers in l.executors to
+// their positions in that list.
 func (l *Ledger) usedExecutors() ([]string, map[uint32]uint32) {
 	numbers := make(map[uint32]uint32)
 	for key, e := range l.entries {
@@ -114,14 +116,14 @@
 	return list, numbers
 }
 
-// Restore builds a ledger from a snapshot.
+// Restore returns a ledger with the state of a snapshot, or ErrCorruptSnapshot.
 func Restore(c Config, data []byte) (*Ledger, error) {
 	var s snapshot
 	if err := decoding.Unmarshal(data, &s); err != nil {
 		return nil, errors.Wrapf(ErrCorruptSnapshot, "decode: %v", err)
 	}
 	if s.Format != snapshotFormat {
-		return nil, errors.Wrapf(ErrCorruptSnapshot, "format %d", s.Format)
+		return nil, errors.Wrapf(ErrCorruptSnapshot, "format %d, want %d", s.Format, snapshotFormat)
 	}
 	l := New(c)
 	l.nowMs = s.NowMs
@@ -140,10 +142,11 @@
 	return l, nil
 }
 
+// restoreKey adds a key with its voided attempts.
 func (l *Ledger) restoreKey(s snapshotKey) error {
 	for _, h := range append([]snapshotHolder{s.Holder}, s.Voided...) {
 		if int(h.Executor) >= len(l.executors.names) {
-			return errors.Wrapf(ErrCorruptSnapshot, "executor %d", h.Executor)
+			return errors.Wrapf(ErrCorruptSnapshot, "executor %d of %d", h.Executor, len(l.executors.names))
 		}
 	}
 	l.store(s.Key, entry{
--- a/state/ledger/stats.go
+++ b/state/ledger/stats.go
@@ -1,6 +1,6 @@
 package ledger
 
-// Stats describes the size of a ledger, for metrics and the state dump.
+// Stats counts the content of a ledger.
 type Stats struct {
 	NowMs         int64
 	Claimed       int
@@ -11,7 +11,7 @@
 	Executors     int
 }
 
-// Stats counts the keys that are held. It visits all of them and is meant for the state dump, not for each command.
+// Stats counts the content of the ledger. It visits all keys, which is too slow to be done for each command.
 func (l *Ledger) Stats() Stats {
 	stats := Stats{
 		NowMs:         l.nowMs,
@@ -32,7 +32,7 @@
 	return stats
 }
 
-// String names the status in logs.
+// String returns the name of the status for logs.
 func (s Status) String() string {
 	switch s {
 	case Granted:
