--- a/state/ledger/ledger_test.go
+++ b/state/ledger/ledger_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestLedger(t *testing.T) {
-	// A fixed seed gives every run the same verdict, and makes files that repeat a failure unnecessary.
+	// With a fixed seed, every run draws the same cases, and a file that repeats a failure is not needed.
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
 			t.Fatal(err)
@@ -34,7 +34,7 @@
 	dayMs   = 24 * hourMs
 )
 
-// attempt is one attempt at an executor; its commands are stamped with a time.
+// attempt is one attempt of an executor at the call under a key. Its methods return commands with a given time.
 type attempt struct {
 	key         string
 	executor    string
@@ -49,9 +49,9 @@
 	}}
 }
 
-func (a attempt) record(nowMs int64, answer ledger.Response) ledger.Command {
+func (a attempt) record(nowMs int64, response ledger.Response) ledger.Command {
 	return ledger.Command{NowMs: nowMs, Record: &ledger.Record{
-		Key: a.key, Executor: a.executor, Incarnation: a.incarnation, Attempt: a.number, Response: answer,
+		Key: a.key, Executor: a.executor, Incarnation: a.incarnation, Attempt: a.number, Response: response,
 	}}
 }
 
@@ -80,8 +80,8 @@
 }
 
 var (
-	first  = attempt{"k", "a", 1, 1}
-	answer = ledger.Response{Status: 201, Header: map[string][]string{"Location": {"/p/1"}}, Body: []byte("promoted")}
+	first    = attempt{"k", "a", 1, 1}
+	response = ledger.Response{Status: 201, Header: map[string][]string{"Location": {"/p/1"}}, Body: []byte("promoted")}
 )
 
 var _ = Describe("Ledger", func() {
@@ -89,32 +89,32 @@
 	BeforeEach(func() { l = ledger.New(ledger.Config{}) })
 	apply := func(c ledger.Command) ledger.Status { return l.Apply(c).Status }
 
-	It("grants a claim to one attempt, again if it asks again, and to nobody else", func() {
+	It("grants a claim to one attempt only, and again if that attempt sends it again", func() {
 		Expect(apply(first.claim(startMs))).To(Equal(ledger.Granted))
 		Expect(apply(first.claim(startMs))).To(Equal(ledger.Granted))
 		for _, other := range []attempt{{"k", "b", 1, 1}, {"k", "a", 1, 2}, {"k", "a", 2, 1}} {
 			result := l.Apply(other.claim(startMs))
 			Expect(result.Status).To(Equal(ledger.Claimed), "also for a later incarnation of the same node")
 			Expect(result.Holder).To(Equal(ledger.Claim{Key: "k", Executor: "a", Incarnation: 1, Attempt: 1}))
-			Expect(apply(other.record(startMs, answer))).To(Equal(ledger.Claimed))
+			Expect(apply(other.record(startMs, response))).To(Equal(ledger.Claimed))
 			Expect(apply(other.release(startMs))).To(Equal(ledger.Claimed))
 		}
 		Expect(apply(query("k", startMs+6*dayMs))).To(Equal(ledger.Claimed), "an unresolved claim stays")
 	})
 
-	It("keeps the first answer and gives it to every resend", func() {
+	It("keeps the first response and returns it whenever the call is sent again", func() {
 		apply(first.claim(startMs))
-		Expect(apply(first.record(startMs, answer))).To(Equal(ledger.Done))
+		Expect(apply(first.record(startMs, response))).To(Equal(ledger.Done))
 		Expect(apply(first.record(startMs, ledger.Response{Status: 500}))).To(Equal(ledger.Done))
 		Expect(apply(first.release(startMs))).To(Equal(ledger.Done))
 		for _, c := range []ledger.Command{first.claim(startMs), attempt{"k", "b", 1, 1}.claim(startMs), query("k", startMs)} {
 			result := l.Apply(c)
 			Expect(result.Status).To(Equal(ledger.Done))
-			Expect(*result.Response).To(Equal(answer))
+			Expect(*result.Response).To(Equal(response))
 		}
 	})
 
-	It("lets another attempt claim after a release, and voids late copies of the released claim", func() {
+	It("grants the claim to another attempt after a release, and no late copy of the released claim", func() {
 		apply(first.claim(startMs))
 		Expect(apply(first.release(startMs))).To(Equal(ledger.Released))
 		Expect(apply(first.claim(startMs))).To(Equal(ledger.Released))
@@ -124,15 +124,15 @@
 		Expect(apply(second.claim(startMs))).To(Equal(ledger.Granted), "the old holder's release is not valid")
 
 		early := attempt{"early", "a", 1, 2}
-		Expect(apply(early.release(startMs))).To(Equal(ledger.Released), "the release overtook the claim")
+		Expect(apply(early.release(startMs))).To(Equal(ledger.Released), "the release arrives before the claim")
 		Expect(apply(early.claim(startMs))).To(Equal(ledger.Released))
 	})
 
-	It("reports an answer of a released call as a violation", func() {
+	It("reports a response of a released call as an invariant violation", func() {
 		before := invariant.Counts()[invariant.FalseNotRun]
 		apply(first.claim(startMs))
 		apply(first.release(startMs))
-		Expect(apply(first.record(startMs, answer))).To(Equal(ledger.Released))
+		Expect(apply(first.record(startMs, response))).To(Equal(ledger.Released))
 		Expect(invariant.Counts()[invariant.FalseNotRun]).To(Equal(before + 1))
 	})
 
@@ -149,9 +149,9 @@
 		Expect(apply(reused)).To(Equal(ledger.KeyReused))
 	})
 
-	It("drops answers after 1 h and keys after 7 days, and never goes back in time", func() {
+	It("drops responses after 1 h and keys after 7 days, and ignores a time that goes back", func() {
 		apply(first.claim(startMs))
-		apply(first.record(startMs, answer))
+		apply(first.record(startMs, response))
 		Expect(l.Apply(query("k", startMs+hourMs-1)).Response.Dropped).To(BeFalse())
 		result := l.Apply(query("k", startMs+hourMs))
 		Expect(result.Status).To(Equal(ledger.Done))
@@ -163,11 +163,11 @@
 		Expect(l.Len()).To(BeZero())
 	})
 
-	It("refuses UUIDv7 keys that it may have forgotten", func() {
+	It("refuses UUIDv7 keys that it may have dropped", func() {
 		Expect(apply(attempt{keyAt(startMs - 7*dayMs), "a", 1, 1}.claim(startMs))).To(Equal(ledger.Expired))
 		Expect(apply(attempt{keyAt(startMs + 7*dayMs), "a", 1, 1}.claim(startMs))).To(Equal(ledger.Expired))
 		Expect(apply(query(keyAt(startMs-7*dayMs), startMs))).To(Equal(ledger.Expired))
-		// At every time, a dated key is either held or refused: it can never be claimed twice.
+		// A key with a time is either known or refused at any moment, so that it cannot be claimed twice.
 		for _, offset := range []int64{-6 * dayMs, -hourMs, 0, hourMs, 6 * dayMs} {
 			l = ledger.New(ledger.Config{})
 			key := keyAt(startMs + offset)
@@ -178,7 +178,7 @@
 		}
 	})
 
-	It("bounds keys and answers", func() {
+	It("bounds the keys and the responses", func() {
 		l = ledger.New(ledger.Config{MaxKeys: 3, MaxResponseBytes: 100, MaxTotalResponseBytes: 150})
 		for i, size := range []int{101, 90, 90} {
 			a := attempt{fmt.Sprint(i), "a", 1, uint64(i)}
@@ -236,7 +236,7 @@
 	})
 })
 
-// BenchmarkKeys measures the memory and the snapshot bytes of a key that is done and whose answer has expired.
+// BenchmarkKeys measures the memory and the snapshot bytes of a key whose call is done and whose response has expired.
 func BenchmarkKeys(b *testing.B) {
 	const count = 1_000_000
 	var before, after runtime.MemStats
@@ -248,7 +248,7 @@
 			now := startMs + int64(i)*600 // a million keys in 7 days
 			a := attempt{fmt.Sprintf("key-%d", i), fmt.Sprintf("node-%d", i%1000), 1, uint64(i)}
 			l.Apply(a.claim(now))
-			l.Apply(a.record(now, answer))
+			l.Apply(a.record(now, response))
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -269,6 +269,6 @@
 		i++
 		a := attempt{fmt.Sprintf("key-%d", i), "node", 1, uint64(i)}
 		l.Apply(a.claim(startMs + int64(i)))
-		l.Apply(a.record(startMs+int64(i), answer))
+		l.Apply(a.record(startMs+int64(i), response))
 	}
 }
--- a/state/ledger/snapshot.go
+++ b/state/ledger/snapshot.go
@@ -11,27 +11,28 @@
 // ErrCorruptSnapshot reports a snapshot that cannot be restored.
 var ErrCorruptSnapshot = errors.New("ledger: corrupt snapshot")
 
-// snapshotFormat is raised when the encoding changes.
+// snapshotFormat is the version of the snapshot encoding.
 const snapshotFormat = 1
 
-// snapshot is the encoded state. Keys are in ascending order, executors in the order of their names.
+// snapshot is the content of a snapshot. Keys are in ascending order, executors in the order of their names, so that equal
+// states have equal encodings.
 type snapshot struct {
-	Format    uint             `cbor:"1,keyasint"`
-	NowMs     int64            `cbor:"2,keyasint"`
-	Executors []string         `cbor:"3,keyasint"`
-	Keys      []snapshotKey    `cbor:"4,keyasint"`
-	Answers   []snapshotAnswer `cbor:"5,keyasint"`
+	Format    uint               `cbor:"1,keyasint"`
+	NowMs     int64              `cbor:"2,keyasint"`
+	Executors []string           `cbor:"3,keyasint"`
+	Keys      []snapshotKey      `cbor:"4,keyasint"`
+	Responses []snapshotResponse `cbor:"5,keyasint"`
 }
 
 type snapshotKey struct {
-	_            struct{} `cbor:",toarray"`
-	Key          keyHash
-	Request      requestHash
-	Status       Status
-	AnswerStatus uint16
-	UntilMs      int64
-	Holder       snapshotHolder
-	Voided       []snapshotHolder
+	_              struct{} `cbor:",toarray"`
+	Key            keyHash
+	Request        requestHash
+	Status         Status
+	ResponseStatus uint16
+	ExpiresMs      int64
+	Holder         snapshotHolder
+	Voided         []snapshotHolder
 }
 
 type snapshotHolder struct {
@@ -41,11 +42,11 @@
 	Attempt     uint64
 }
 
-type snapshotAnswer struct {
-	_       struct{} `cbor:",toarray"`
-	Key     keyHash
-	UntilMs int64
-	Answer  Response
+type snapshotResponse struct {
+	_         struct{} `cbor:",toarray"`
+	Key       keyHash
+	ExpiresMs int64
+	Response  Response
 }
 
 var encoding = mustEncMode(cbor.CoreDetEncOptions())
@@ -58,7 +59,7 @@
 	return mode
 }
 
-// decoding admits arrays as long as the ledger may have keys.
+// decoding allows the longest arrays, as the default limit is below the number of keys that a ledger may have.
 var decoding = mustDecMode(cbor.DecOptions{MaxArrayElements: 1<<31 - 1})
 
 func mustDecMode(options cbor.DecOptions) cbor.DecMode {
@@ -78,7 +79,7 @@
 	}
 	for key, e := range l.entries {
 		converted := snapshotKey{
-			Key: key, Request: e.request, Status: e.status, AnswerStatus: e.answerStatus, UntilMs: e.untilMs,
+			Key: key, Request: e.request, Status: e.status, ResponseStatus: e.responseStatus, ExpiresMs: e.expiresMs,
 			Holder: convert(e.holder),
 		}
 		for _, h := range l.voided[key] {
@@ -87,14 +88,15 @@
 		s.Keys = append(s.Keys, converted)
 	}
 	slices.SortFunc(s.Keys, func(a, b snapshotKey) int { return bytes.Compare(a.Key[:], b.Key[:]) })
-	for _, stored := range l.answers.queue {
-		s.Answers = append(s.Answers, snapshotAnswer{Key: stored.key, UntilMs: stored.untilMs, Answer: *stored.answer})
+	for _, stored := range l.responses.queue {
+		s.Responses = append(s.Responses, snapshotResponse{Key: stored.key, ExpiresMs: stored.expiresMs, Response: *stored.response})
 	}
 	data, err := encoding.Marshal(s)
 	return data, errors.Wrap(err, "ledger: encode snapshot")
 }
 
-// usedExecutors returns the executors that entries refer to, in order, and their new numbers by their old ones.
+// usedExecutors returns the sorted names of the executors that entries refer to, and maps their numbers in l.executors to
+// their positions in that list.
 func (l *Ledger) usedExecutors() ([]string, map[uint32]uint32) {
 	numbers := make(map[uint32]uint32)
 	for key, e := range l.entries {
@@ -105,7 +107,7 @@
 	}
 	var list []string
 	for old := range numbers {
-		list = append(list, l.executors.list[old])
+		list = append(list, l.executors.names[old])
 	}
 	slices.Sort(list)
 	for i, name := range list {
@@ -114,40 +116,41 @@
 	return list, numbers
 }
 
-// Restore builds a ledger from a snapshot.
+// Restore returns a ledger with the state of a snapshot, or ErrCorruptSnapshot.
 func Restore(c Config, data []byte) (*Ledger, error) {
 	var s snapshot
 	if err := decoding.Unmarshal(data, &s); err != nil {
 		return nil, errors.Wrapf(ErrCorruptSnapshot, "decode: %v", err)
 	}
 	if s.Format != snapshotFormat {
-		return nil, errors.Wrapf(ErrCorruptSnapshot, "format %d", s.Format)
+		return nil, errors.Wrapf(ErrCorruptSnapshot, "format %d, want %d", s.Format, snapshotFormat)
 	}
 	l := New(c)
 	l.nowMs = s.NowMs
-	l.keys.next = s.NowMs / bucketMs
+	l.keys.nextBucket = s.NowMs / bucketMs
 	for _, name := range s.Executors {
-		l.executors.number(name)
+		l.executors.numberOf(name)
 	}
 	for _, key := range s.Keys {
 		if err := l.restoreKey(key); err != nil {
 			return nil, err
 		}
 	}
-	for _, a := range s.Answers {
-		l.answers.add(a.Key, a.Answer, a.UntilMs)
+	for _, stored := range s.Responses {
+		l.responses.add(stored.Key, stored.Response, stored.ExpiresMs)
 	}
 	return l, nil
 }
 
+// restoreKey adds a key with its voided attempts.
 func (l *Ledger) restoreKey(s snapshotKey) error {
 	for _, h := range append([]snapshotHolder{s.Holder}, s.Voided...) {
-		if int(h.Executor) >= len(l.executors.list) {
-			return errors.Wrapf(ErrCorruptSnapshot, "executor %d", h.Executor)
+		if int(h.Executor) >= len(l.executors.names) {
+			return errors.Wrapf(ErrCorruptSnapshot, "executor %d of %d", h.Executor, len(l.executors.names))
 		}
 	}
 	l.store(s.Key, entry{
-		request: s.Request, status: s.Status, answerStatus: s.AnswerStatus, untilMs: s.UntilMs, holder: s.Holder.restore(),
+		request: s.Request, status: s.Status, responseStatus: s.ResponseStatus, expiresMs: s.ExpiresMs, holder: s.Holder.restore(),
 	})
 	for _, h := range s.Voided {
 		l.void(s.Key, h.restore())
--- a/state/registry/memory_test.go
+++ b/state/registry/memory_test.go
@@ -10,12 +10,12 @@
 )
 
 var _ = Describe("EncodeUpdate", func() {
-	// Guards against compressor tables that are many times as large as what they compress: every member that takes a
-	// change keeps them.
+	// Guards against a compressor whose tables are many times as large as the largest update: every member that has
+	// encoded an update keeps them.
 	It("takes no more memory for a small update than twice the largest one", func() {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		_, err := registry.EncodeUpdate(updateOf(content(1)))
+		_, err := registry.EncodeUpdate(updateOf(bundleWith(1)))
 		Expect(err).NotTo(HaveOccurred())
 		runtime.ReadMemStats(&after)
 		Expect(after.TotalAlloc - before.TotalAlloc).To(BeNumerically("<=", 2*registry.MaxUpdateBytes))
--- a/state/registry/registry_test.go
+++ b/state/registry/registry_test.go
@@ -12,10 +12,10 @@
 )
 
 var _ = Describe("Registry", func() {
-	var g *group
-	BeforeEach(func() { g = newGroup() })
+	var g *replicaPair
+	BeforeEach(func() { g = newReplicaPair() })
 
-	It("names the winner to the operator who loses a race for a version", func() {
+	It("refuses a second approval of a version and names the winner", func() {
 		Expect(g.apply(stage(1, "ana", 1)).Err()).To(Succeed())
 		Expect(g.apply(stage(1, "ben", 2)).Err()).To(Succeed())
 		Expect(g.apply(approve(1, "ben", 2, 0)).Err()).To(Succeed())
@@ -26,49 +26,49 @@
 		Expect(g.apply(stage(1, "ana", 1)).Err()).To(MatchError(registry.ErrVersionTaken))
 	})
 
-	It("gives a resent approval its first result, also after later versions", func() {
+	It("gives an approval that is sent again its first result, also after later versions", func() {
 		Expect(g.apply(stage(1, "ana", 1)).Err()).To(Succeed())
 		first := g.apply(approve(1, "ana", 1, 0))
-		g.accept(2, 2)
+		g.stageAndApprove(2, 2)
 		again := g.apply(approve(1, "ana", 1, 0))
 		Expect(again).To(Equal(first))
 		Expect(g.first.State().Latest.Version).To(Equal(uint64(2)))
 		Expect(g.apply(approve(1, "ana", 3, 0)).Err()).To(MatchError(registry.ErrVersionTaken))
-		g.accept(9, 3)
+		g.stageAndApprove(9, 3)
 		Expect(g.apply(approve(5, "ana", 1, 0)).Err()).To(MatchError(registry.ErrVersionOld))
 	})
 
-	It("gives a command with a request identifier its first result, even if that was a refusal", func() {
-		early := approve(1, "ana", 1, 0)
-		early.RequestID = "r1"
-		Expect(g.apply(early).Err()).To(MatchError(registry.ErrMissingParts))
+	It("gives a command with a request identifier its first result when it is sent again, even a refusal", func() {
+		premature := approve(1, "ana", 1, 0)
+		premature.RequestID = "r1"
+		Expect(g.apply(premature).Err()).To(MatchError(registry.ErrMissingParts))
 		Expect(g.apply(stage(1, "ana", 1)).Err()).To(Succeed())
-		Expect(g.apply(early).Err()).To(MatchError(registry.ErrMissingParts))
-		early.RequestID = "r2"
-		Expect(g.apply(early).Err()).To(Succeed())
+		Expect(g.apply(premature).Err()).To(MatchError(registry.ErrMissingParts))
+		premature.RequestID = "r2"
+		Expect(g.apply(premature).Err()).To(Succeed())
 		other := stop(1, "ana")
 		other.RequestID = "r2"
-		Expect(g.apply(other).Effect).To(Equal(registry.EffectStopped), "an identifier is not shared by two commands")
+		Expect(g.apply(other).Effect).To(Equal(registry.EffectStopped), "another command under the same identifier has its own result")
 	})
 
-	It("refuses what is not signed by a known operator", func() {
+	It("refuses commands that no known operator has signed", func() {
 		Expect(g.apply(stage(1, "eve", 1)).Err()).To(MatchError(registry.ErrUnauthorized))
 		Expect(g.apply(stage(1, "ana", 1)).Err()).To(Succeed())
 		Expect(g.apply(approve(1, "eve", 1, 0)).Err()).To(MatchError(registry.ErrUnauthorized))
 		forged := approve(1, "ben", 1, 0)
 		forged.Approve.Operator = "ana"
 		Expect(g.apply(forged).Err()).To(MatchError(registry.ErrUnauthorized))
-		raised := approve(1, "ana", 1, 0)
-		raised.Approve.Version = 2
-		Expect(g.apply(raised).Err()).To(MatchError(registry.ErrUnauthorized))
-		halt := stop(7, "ana")
-		halt.Stop.Version = 1
-		Expect(g.apply(halt).Err()).To(MatchError(registry.ErrUnauthorized))
+		altered := approve(1, "ana", 1, 0)
+		altered.Approve.Version = 2
+		Expect(g.apply(altered).Err()).To(MatchError(registry.ErrUnauthorized))
+		alteredStop := stop(7, "ana")
+		alteredStop.Stop.Version = 1
+		Expect(g.apply(alteredStop).Err()).To(MatchError(registry.ErrUnauthorized))
 		Expect(g.first.State().Latest).To(BeNil())
 	})
 
-	It("refuses a bundle with a dangling route and keeps nothing of it", func() {
-		b := content(1)
+	It("refuses a bundle with a route to a missing service and stores no part of it", func() {
+		b := bundleWith(1)
 		b.Routes[0].Service = "gone"
 		update := updateOf(b)
 		result := g.apply(registry.Command{Stage: &registry.Stage{
@@ -82,7 +82,7 @@
 
 	DescribeTable("refuses an altered bundle",
 		func(alter func(u *bundle.Update), want error) {
-			update := updateOf(content(1))
+			update := updateOf(bundleWith(1))
 			alter(&update)
 			result := g.apply(registry.Command{Stage: &registry.Stage{
 				Version: 1, Digest: digestOf(1), Operator: "ana", Update: encode(update),
@@ -98,7 +98,7 @@
 	)
 
 	It("refuses a bundle outside canonical form, so that one configuration has one digest", func() {
-		b := content(1)
+		b := bundleWith(1)
 		b.Routes[0].Match.Methods = []string{"PUT", "GET"}
 		update := updateOf(b)
 		result := g.apply(registry.Command{Stage: &registry.Stage{
@@ -107,17 +107,17 @@
 		Expect(result.Err()).To(MatchError(registry.ErrInvalid))
 	})
 
-	It("refuses an update that decompresses beyond its bound", func() {
+	It("refuses an update that is larger than the bound when decompressed", func() {
 		_, err := registry.EncodeUpdate(bundle.Update{Parts: []bundle.Part{{Data: make([]byte, registry.MaxUpdateBytes)}}})
 		Expect(err).To(HaveOccurred())
 		_, err = registry.DecodeUpdate(compress(make([]byte, 8*registry.MaxUpdateBytes)))
 		Expect(err).To(MatchError(ContainSubstring("decompress")))
 	})
 
-	It("stops before, during and after a rollout", func() {
+	It("withdraws a staged version, and stops the rollout of the latest version only", func() {
 		Expect(g.apply(stop(1, "ana")).Err()).To(MatchError(registry.ErrUnknownVersion))
-		g.accept(1, 1)
-		// Staged: the version is withdrawn for good, whoever approves it, and staging it again is refused.
+		g.stageAndApprove(1, 1)
+		// A staged version is withdrawn for good: approving it and staging it again are refused.
 		Expect(g.apply(stage(2, "ana", 2)).Err()).To(Succeed())
 		withdrawn := g.apply(stop(2, "ben"))
 		Expect(withdrawn.Effect).To(Equal(registry.EffectWithdrawn))
@@ -125,17 +125,17 @@
 		Expect(g.apply(approve(2, "ana", 1, 0)).Err()).To(MatchError(registry.ErrWithdrawn))
 		Expect(g.apply(stage(2, "ana", 3)).Err()).To(MatchError(registry.ErrWithdrawn))
 		Expect(g.first.State().StoredBundles).To(Equal([]bundle.Digest{digestOf(1)}))
-		// Approved: the rollout stops and the version stays the latest.
-		g.accept(3, 3)
+		// The rollout of an approved version stops, and the version stays the latest.
+		g.stageAndApprove(3, 3)
 		stopped := g.apply(stop(3, "ben"))
 		Expect(stopped.Effect).To(Equal(registry.EffectStopped))
 		Expect(g.apply(stop(3, "ben"))).To(Equal(stopped))
 		Expect(g.first.State().Stopped).To(BeTrue())
 		Expect(g.first.State().Latest.Version).To(Equal(uint64(3)))
-		Expect(g.apply(approve(3, "ana", 3, 0)).Err()).To(Succeed(), "a resent approval does not resume the rollout")
+		Expect(g.apply(approve(3, "ana", 3, 0)).Err()).To(Succeed(), "an approval that is sent again does not resume the rollout")
 		Expect(g.first.State().Stopped).To(BeTrue())
-		// Superseded: the next version is not stopped, and a resent stop does not stop it.
-		g.accept(4, 1)
+		// The next version is not stopped, and a stop of the earlier version that is sent again does not stop it.
+		g.stageAndApprove(4, 1)
 		Expect(g.first.State().Stopped).To(BeFalse())
 		Expect(g.apply(stop(3, "ben"))).To(Equal(stopped))
 		Expect(g.first.State().Stopped).To(BeFalse())
@@ -148,7 +148,7 @@
 			registry.ActionApproved, registry.ActionStopped, registry.ActionApproved}))
 	})
 
-	It("never lets a withdrawn version return, however many were withdrawn", func() {
+	It("refuses a withdrawn version for good, however many were withdrawn", func() {
 		const many = 260
 		for version := uint64(10); version < 10+many; version++ {
 			Expect(g.apply(stage(version, "ana", 1)).Err()).To(Succeed())
@@ -157,11 +157,11 @@
 		for _, version := range []uint64{10, 13, 14, 9 + many} {
 			Expect(g.apply(stage(version, "ana", 1)).Err()).To(MatchError(registry.ErrWithdrawn))
 		}
-		g.accept(10+many, 1)
+		g.stageAndApprove(10+many, 1)
 	})
 
-	It("gives a resent stage its first result, also if the leader shrinks it differently", func() {
-		g.accept(1, 1)
+	It("gives a stage that is sent again its first result, also if the leader shrinks it differently", func() {
+		g.stageAndApprove(1, 1)
 		full := stage(2, "ana", 2)
 		full.RequestID = "r"
 		first := g.apply(full)
@@ -175,7 +175,7 @@
 	It("replaces a version only while it is the latest", func() {
 		Expect(g.apply(stage(2, "ana", 2)).Err()).To(Succeed())
 		Expect(g.apply(approve(2, "ana", 2, 1)).Err()).To(MatchError(registry.ErrNotLatest))
-		g.accept(1, 1)
+		g.stageAndApprove(1, 1)
 		Expect(g.apply(stop(1, "ana")).Err()).To(Succeed())
 		Expect(g.apply(stage(2, "ana", 2)).Err()).To(Succeed())
 		replaced := g.apply(approve(2, "ana", 2, 1))
@@ -190,7 +190,7 @@
 
 	It("keeps the latest approved bundles and a bounded number of staged ones", func() {
 		for version := uint64(1); version <= 20; version++ {
-			g.accept(version, int(version))
+			g.stageAndApprove(version, int(version))
 		}
 		for version := uint64(100); version <= 100+registry.MaxStaged; version++ {
 			Expect(g.apply(stage(version, "ana", int(version))).Err()).To(Succeed())
@@ -201,12 +201,12 @@
 		Expect(store.Holds(digestOf(5))).To(BeTrue())
 		Expect(store.Holds(digestOf(100))).To(BeFalse(), "the oldest staged bundle is dropped")
 		Expect(g.apply(approve(101, "ana", 101, 0)).Err()).To(Succeed())
-		g.accept(200, 5)
+		g.stageAndApprove(200, 5)
 		Expect(g.first.Staged()).To(BeEmpty())
 	})
 
 	It("shrinks a stage to the parts that the registry lacks", func() {
-		g.accept(1, 1)
+		g.stageAndApprove(1, 1)
 		full := stage(2, "ana", 2)
 		small, err := g.first.Shrink(*full.Stage)
 		Expect(err).NotTo(HaveOccurred())
@@ -217,27 +217,27 @@
 		Expect(update.Delta.Set).To(HaveLen(1))
 		Expect(len(small.Update)).To(BeNumerically("<", len(full.Stage.Update)))
 		Expect(g.apply(registry.Command{Stage: &small}).Err()).To(Succeed())
-		Expect(g.first.Store().Bundle(small.Digest)).To(Equal(content(2)))
+		Expect(g.first.Store().Bundle(small.Digest)).To(Equal(bundleWith(2)))
 		again, err := g.first.Shrink(*full.Stage)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(g.apply(registry.Command{Stage: &again}).Err()).To(Succeed())
 	})
 
 	It("refuses a damaged snapshot", func() {
-		g.accept(1, 1)
+		g.stageAndApprove(1, 1)
 		snapshot, err := g.first.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
-		_, err = registry.Restore(ring("ana"), snapshot[:len(snapshot)-3])
+		_, err = registry.Restore(keyring("ana"), snapshot[:len(snapshot)-3])
 		Expect(err).To(MatchError(registry.ErrMalformed))
 	})
 })
 
-// Guards against members that diverge, versions that move back and a second winner, in any order of commands with
-// snapshots in between.
+// Guards against replicas that diverge, a latest version that decreases, and two bundles approved under one version. It
+// draws random sequences of commands and restores a snapshot before each.
 func TestCommandOrderProperty(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGroup()
+		g := newReplicaPair()
 		winners := make(map[uint64]bundle.Digest)
 		latest := uint64(0)
 		for range rapid.IntRange(1, 15).Draw(t, "commands") {
