--- a/control/admin.go
+++ b/control/admin.go
@@ -118,5 +118,5 @@
 		m.logger.Error().Err(err).Msg("cannot encode a clearance")
 		return
 	}
-	m.host.Post(func(now time.Time) { m.peer.PublishCrash(now, []relay.CrashReport{encoded}) })
+	m.host.Post(func(now time.Time) { m.peer.PublishCrashes(now, []relay.CrashReport{encoded}) })
 }
--- a/control/member.go
+++ b/control/member.go
@@ -309,7 +309,7 @@
 // publishSource hands the registry's state to the distribution tree.
 func (m *Member) publishSource(now time.Time) {
 	state := m.registry.registry.State()
-	source := relay.Source{Latest: state.Latest, Stopped: state.Stopped, Held: state.Held}
+	source := relay.Source{Latest: state.Latest, Stopped: state.Stopped, Bundles: state.Held}
 	m.peer.SetSource(now, source, m.registry.registry.Store())
 }
 
--- a/coordination/relay/count.go
+++ b/coordination/relay/aggregate.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// counts is the state of the aggregates that go upward.
-type counts struct {
+// countReport is the state of the aggregates that go upward.
+type countReport struct {
 	// changed is set when the counts may differ from what was last sent; since when the change is waiting.
-	changed bool
-	waiting time.Time
-	// Versions up to held are not reported before heldUntil, since former ancestors may still count them.
-	held      uint64
-	heldUntil time.Time
-	// reported is the greatest version that was ever reported.
-	reported uint64
+	changed   bool
+	changedAt time.Time
+	// Versions up to suppressedVersion are not reported before heldUntil, since former ancestors may still count them.
+	suppressedVersion uint64
+	suppressUntil     time.Time
+	// maxReported is the greatest version that was ever maxReported.
+	maxReported uint64
 }
 
-// holdFirst starts the hold of a process that takes its first version: the process that ran before it under the same
+// suppressFirstVersion starts the hold of a process that takes its first version: the process that ran before it under the same
 // ID may still be counted with this version.
-func (c *counts) holdFirst(version uint64, started time.Time) {
-	c.held = version
-	c.heldUntil = started.Add(countHold)
+func (c *countReport) suppressFirstVersion(version uint64, started time.Time) {
+	c.suppressedVersion = version
+	c.suppressUntil = started.Add(countSuppression)
 }
 
-// holdCounts starts the hold after a change of the parent. A link to the same parent as before needs none, since the
+// suppressCounts starts the hold after a change of the parent. A link to the same parent as before needs none, since the
 // parent has dropped the counts of the old link.
-func (p *Peer) holdCounts(parent string) {
+func (p *Peer) suppressCounts(parent string) {
 	c := &p.counts
-	if p.attach.lastParent == "" || p.attach.lastParent == parent || c.reported == 0 {
+	if p.search.lastParent == "" || p.search.lastParent == parent || c.maxReported == 0 {
 		return
 	}
-	c.held = max(c.held, c.reported)
-	until := p.attach.lostAt.Add(countHold)
-	if until.After(c.heldUntil) {
-		c.heldUntil = until
+	c.suppressedVersion = max(c.suppressedVersion, c.maxReported)
+	until := p.search.parentLostAt.Add(countSuppression)
+	if until.After(c.suppressUntil) {
+		c.suppressUntil = until
 	}
 }
 
@@ -70,7 +70,7 @@
 }
 
 func (p *Peer) ownCounts() Aggregate {
-	version := p.content.inForce.Version
+	version := p.bundles.inForce.Version
 	own := Aggregate{Nodes: 1, Lowest: version}
 	if version > 0 {
 		own.Versions = []VersionCount{{Version: version, Nodes: 1}}
@@ -90,11 +90,11 @@
 }
 
 func (p *Peer) fullLagReason() string {
-	c := &p.content
+	c := &p.bundles
 	if reason := c.refusal(); reason != "" {
 		return reason
 	}
-	if c.approved == nil || c.inForce.Version >= c.approved.Approval.Version || p.now.Sub(c.learnedAt) < lagAfter {
+	if c.approved == nil || c.inForce.Version >= c.approved.Approval.Version || p.now.Sub(c.learnedAt) < laggingAfter {
 		return ""
 	}
 	switch {
@@ -102,7 +102,7 @@
 		return "stopped"
 	case !c.store.Holds(c.approved.Approval.Digest):
 		return "parts missing"
-	case c.current() == 0:
+	case c.newestVersion() == 0:
 		return "not confirmed since start"
 	default:
 		return "activation pending"
@@ -115,9 +115,9 @@
 	if p.config.Member {
 		sum.Zones = p.ownZones()
 	}
-	if p.now.Before(p.counts.heldUntil) {
+	if p.now.Before(p.counts.suppressUntil) {
 		// Cloned, since the sum of one aggregate shares its slice.
-		sum.Versions = slices.DeleteFunc(slices.Clone(sum.Versions), func(v VersionCount) bool { return v.Version <= p.counts.held })
+		sum.Versions = slices.DeleteFunc(slices.Clone(sum.Versions), func(v VersionCount) bool { return v.Version <= p.counts.suppressedVersion })
 	}
 	return sum
 }
@@ -125,7 +125,7 @@
 func (p *Peer) noteReported(l *link, a Aggregate) {
 	l.sentCounts = a
 	if len(a.Versions) > 0 {
-		p.counts.reported = max(p.counts.reported, a.Versions[0].Version)
+		p.counts.maxReported = max(p.counts.maxReported, a.Versions[0].Version)
 	}
 }
 
@@ -135,14 +135,14 @@
 	if !c.changed {
 		return
 	}
-	if c.waiting.IsZero() {
-		c.waiting = p.now
+	if c.changedAt.IsZero() {
+		c.changedAt = p.now
 		return
 	}
-	if p.now.Sub(c.waiting) < reportDelay {
+	if p.now.Sub(c.changedAt) < countReportDelay {
 		return
 	}
-	c.changed, c.waiting = false, time.Time{}
+	c.changed, c.changedAt = false, time.Time{}
 	report := p.report()
 	for _, l := range p.linksOf(roleParent, roleMember) {
 		if !slices.Equal(report.Versions, l.sentCounts.Versions) {
@@ -165,7 +165,7 @@
 		Nodes:    a.Nodes + b.Nodes,
 		Versions: addVersions(a.Versions, b.Versions),
 		Lowest:   min(a.Lowest, b.Lowest),
-		Lagging:  firstLagging(a.Lagging, b.Lagging),
+		Lagging:  mergeLagging(a.Lagging, b.Lagging),
 	}
 }
 
@@ -183,7 +183,7 @@
 	return sum[:min(len(sum), maxVersions)]
 }
 
-func firstLagging(a, b []Lag) []Lag {
+func mergeLagging(a, b []Lag) []Lag {
 	all := append(slices.Clone(a), b...)
 	return all[:min(len(all), maxLagging)]
 }
--- a/coordination/relay/bench_test.go
+++ b/coordination/relay/bench_test.go
@@ -53,13 +53,13 @@
 	RegisterTestingT(tb)
 	b := &bench{now: time.Unix(1_700_000_000, 0), parent: relay.OutboundLink | 1}
 	b.peer = relay.New(b.now, relay.Config{
-		ID: "n0", Zone: "zone-00", Address: "n0", Incarnation: 1, Join: []string{"m0"}, Keys: keys{},
+		ID: "n0", Zone: "zone-00", Address: "n0", Incarnation: 1, JoinAddresses: []string{"m0"}, Keys: keys{},
 		Rand: rand.New(rand.NewSource(1)), FanOut: benchChildren + 1,
 	})
 	b.now = b.now.Add(2 * time.Second)
 	b.drain()
 	b.peer.LinkUp(b.now, b.parent, relay.Hello{ID: "m0", Incarnation: 1, Zone: "zone-00", Member: true}, true)
-	b.step(b.parent, relay.Message{Accept: &relay.Accept{Fresh: relay.Freshness{Confirmed: true}}})
+	b.step(b.parent, relay.Message{Accept: &relay.Accept{Freshness: relay.Freshness{Confirmed: true}}})
 	for link := range relay.LinkID(benchChildren) {
 		b.join(link+1, fmt.Sprint("child-", link))
 	}
--- a/coordination/relay/content.go
+++ b/coordination/relay/bundles.go
@@ -22,13 +22,13 @@
 	ErrPartName = errors.New("relay: part does not have the name that the manifest gives it")
 )
 
-// packedCacheSize bounds the compressed updates that are kept for the other children of the same state.
-const packedCacheSize = 8
+// maxPackedUpdates bounds the compressed updates that are kept for the other children of the same state.
+const maxPackedUpdates = 8
 
-type packKey struct{ base, target bundle.Digest }
+type packedKey struct{ base, target bundle.Digest }
 
-// content is the configuration that the peer knows, holds and has in force.
-type content struct {
+// bundleState is the configuration that the peer knows, holds and has in force.
+type bundleState struct {
 	store *bundle.Store
 	// approved is the latest approval with a valid signature.
 	approved  *Approved
@@ -39,44 +39,44 @@
 	pending []bundle.Approval
 	// staged lists bundles received ahead of sign-off, the newest first.
 	staged []bundle.Digest
-	// known holds the bundles that a member's registry has named so far.
-	known map[bundle.Digest]bool
+	// registryBundles holds the bundles that a member's registry has named so far.
+	registryBundles map[bundle.Digest]bool
 
 	fetchAt     time.Time
 	fetchTarget bundle.Digest
-	packed      map[packKey][]byte
+	packed      map[packedKey][]byte
 
 	refusedDigest bundle.Digest
 	refusedReason string
-	// badApproval and badParts are the last failures to receive an approval and the approved bundle.
-	badApproval string
-	badParts    string
+	// approvalError and badParts are the last failures to receive an approval and the approved bundle.
+	approvalError string
+	partsError    string
 }
 
-func newContent() content {
-	return content{store: bundle.NewStore(), packed: make(map[packKey][]byte)}
+func newBundleState() bundleState {
+	return bundleState{store: bundle.NewStore(), packed: make(map[packedKey][]byte)}
 }
 
-func (c *content) stopped() bool { return c.approved != nil && c.approved.Stopped }
+func (c *bundleState) stopped() bool { return c.approved != nil && c.approved.Stopped }
 
 // refusal returns why the approved bundle is not in force, if it was refused.
-func (c *content) refusal() string {
+func (c *bundleState) refusal() string {
 	if c.approved != nil && c.refusedReason != "" && c.refusedDigest == c.approved.Approval.Digest {
 		return c.refusedReason
 	}
-	return cmp.Or(c.badApproval, c.badParts)
+	return cmp.Or(c.approvalError, c.partsError)
 }
 
-// current returns the newest version that is in force or about to be.
-func (c *content) current() uint64 {
+// newestVersion returns the newest version that is in force or about to be.
+func (c *bundleState) newestVersion() uint64 {
 	if n := len(c.pending); n > 0 {
 		return c.pending[n-1].Version
 	}
 	return c.inForce.Version
 }
 
-// used lists the bundles that are or were lately in force.
-func (c *content) used() []bundle.Digest {
+// recentlyActive lists the bundles that are or were lately in force.
+func (c *bundleState) recentlyActive() []bundle.Digest {
 	var digests []bundle.Digest
 	for _, a := range c.pending {
 		digests = append(digests, a.Digest)
@@ -85,7 +85,7 @@
 }
 
 // offered lists the bundles that children should hold, the approved one first.
-func (c *content) offered() []bundle.Digest {
+func (c *bundleState) offered() []bundle.Digest {
 	var digests []bundle.Digest
 	if c.approved != nil {
 		digests = append(digests, c.approved.Approval.Digest)
@@ -98,40 +98,40 @@
 	return digests
 }
 
-// heldDigests lists the bundles that are completely held, the most useful base for a difference first.
-func (c *content) heldDigests() []bundle.Digest {
+// completeBundles lists the bundles that are completely held, the most useful base for a difference first.
+func (c *bundleState) completeBundles() []bundle.Digest {
 	var held []bundle.Digest
-	for _, digest := range append(c.offered(), c.used()...) {
+	for _, digest := range append(c.offered(), c.recentlyActive()...) {
 		if c.store.Holds(digest) && !slices.Contains(held, digest) {
 			held = append(held, digest)
 		}
 	}
-	return held[:min(len(held), maxHave)]
+	return held[:min(len(held), maxListedBundles)]
 }
 
 func (p *Peer) latestVersion() uint64 {
-	if p.content.approved == nil {
+	if p.bundles.approved == nil {
 		return 0
 	}
-	return p.content.approved.Approval.Version
+	return p.bundles.approved.Approval.Version
 }
 
 // setSource takes over a member's registry state and sends what is new to the children.
 func (p *Peer) setSource(s Source, store *bundle.Store) {
-	c := &p.content
+	c := &p.bundles
 	c.store = store
-	first := c.known == nil
+	first := c.registryBundles == nil
 	if first {
-		c.known = make(map[bundle.Digest]bool)
+		c.registryBundles = make(map[bundle.Digest]bool)
 	}
 	// After the start of a member, staged and formerly approved bundles cannot be told apart. None is sent ahead.
 	var fresh []bundle.Digest
-	for _, digest := range s.Held {
-		if !c.known[digest] && !first {
+	for _, digest := range s.Bundles {
+		if !c.registryBundles[digest] && !first {
 			fresh = append(fresh, digest)
 		}
 	}
-	c.setKnown(s.Held)
+	c.setRegistryBundles(s.Bundles)
 	for _, digest := range fresh {
 		p.stage(digest)
 	}
@@ -139,19 +139,19 @@
 	if s.Latest != nil {
 		p.setApproved(Approved{Approval: *s.Latest, Stopped: s.Stopped})
 	}
-	p.offerAll()
+	p.offerToChildren()
 }
 
-func (c *content) setKnown(held []bundle.Digest) {
-	clear(c.known)
+func (c *bundleState) setRegistryBundles(held []bundle.Digest) {
+	clear(c.registryBundles)
 	for _, digest := range held {
-		c.known[digest] = true
+		c.registryBundles[digest] = true
 	}
 }
 
 // stage remembers a bundle that may be approved soon.
 func (p *Peer) stage(digest bundle.Digest) {
-	c := &p.content
+	c := &p.bundles
 	if c.approved != nil && c.approved.Approval.Digest == digest {
 		return
 	}
@@ -161,32 +161,32 @@
 }
 
 // unstage forgets an approved bundle, so that it is not offered any more once a later one is approved.
-func (c *content) unstage(digest bundle.Digest) {
+func (c *bundleState) unstage(digest bundle.Digest) {
 	c.staged = slices.DeleteFunc(c.staged, func(d bundle.Digest) bool { return d == digest })
 }
 
-// learnApproval takes in the parent's latest approval. An approval with a bad signature is not passed on.
-func (p *Peer) learnApproval(a Approved) {
-	c := &p.content
+// receiveApproval takes in the parent's latest approval. An approval with a bad signature is not passed on.
+func (p *Peer) receiveApproval(a Approved) {
+	c := &p.bundles
 	version := p.latestVersion()
 	if a.Approval.Version < version {
 		return
 	}
 	if a.Approval.Version == version && c.approved != nil {
-		p.learnStop(a)
+		p.receiveStop(a)
 		return
 	}
 	if err := p.config.Keys.Verify(a.Approval); err != nil {
-		c.badApproval = fmt.Sprintf("approval of version %d: %v", a.Approval.Version, err)
+		c.approvalError = fmt.Sprintf("approval of version %d: %v", a.Approval.Version, err)
 		return
 	}
-	c.badApproval = ""
+	c.approvalError = ""
 	p.setApproved(a)
 	p.tryActivate()
 }
 
-func (p *Peer) learnStop(a Approved) {
-	approved := p.content.approved
+func (p *Peer) receiveStop(a Approved) {
+	approved := p.bundles.approved
 	sameDigest := a.Approval.Digest == approved.Approval.Digest
 	invariant.Check(sameDigest, invariant.RevertedBundle, "two approvals share a version",
 		map[string]any{"node": p.config.ID, "version": a.Approval.Version})
@@ -197,7 +197,7 @@
 
 // setApproved records an approval that is newer than the known one, or stops it, and tells the children.
 func (p *Peer) setApproved(a Approved) {
-	c := &p.content
+	c := &p.bundles
 	if held := c.approved; held != nil {
 		newer := a.Approval.Version > held.Approval.Version
 		stops := a.Approval.Version == held.Approval.Version && a.Stopped && !held.Stopped
@@ -217,70 +217,70 @@
 // node without a version takes one only if a quorum confirmed it after the node's start, and a stopped version is
 // taken only by a node without a version.
 func (p *Peer) tryActivate() {
-	c := &p.content
+	c := &p.bundles
 	if p.config.Member || c.approved == nil {
 		return
 	}
 	a := c.approved.Approval
-	if a.Version <= c.current() || c.refusedReason != "" && c.refusedDigest == a.Digest {
+	if a.Version <= c.newestVersion() || c.refusedReason != "" && c.refusedDigest == a.Digest {
 		return
 	}
 	if !c.store.Holds(a.Digest) {
 		p.fetch(a.Digest)
 		return
 	}
-	if c.current() == 0 && !p.confirmedSinceStart(a.Version) {
+	if c.newestVersion() == 0 && !p.confirmedSinceStart(a.Version) {
 		return
 	}
-	if c.current() > 0 && c.approved.Stopped {
+	if c.newestVersion() > 0 && c.approved.Stopped {
 		return
 	}
 	p.activate(a)
 }
 
 func (p *Peer) confirmedSinceStart(version uint64) bool {
-	return p.fresh.confirmed && version >= p.fresh.version && p.fresh.ageAt(p.now) < p.now.Sub(p.started)
+	return p.freshness.confirmed && version >= p.freshness.version && p.freshness.ageAt(p.now) < p.now.Sub(p.started)
 }
 
 func (p *Peer) activate(a bundle.Approval) {
-	c := &p.content
-	b, err := p.checked(a.Digest)
+	c := &p.bundles
+	b, err := p.assemble(a.Digest)
 	if err != nil {
 		c.refusedDigest, c.refusedReason = a.Digest, err.Error()
 		p.counts.changed = true
 		p.emit(Refused{Version: a.Version, Reason: c.refusedReason})
 		return
 	}
-	newer := invariant.Check(a.Version > c.current(), invariant.VersionRollback, "version goes down",
-		map[string]any{"node": p.config.ID, "from": c.current(), "to": a.Version})
-	whole := invariant.Check(danglingRoute(b) == nil, invariant.DanglingRoute, "activated bundle has a dangling route",
+	newer := invariant.Check(a.Version > c.newestVersion(), invariant.VersionRollback, "version goes down",
+		map[string]any{"node": p.config.ID, "from": c.newestVersion(), "to": a.Version})
+	whole := invariant.Check(checkReferences(b) == nil, invariant.DanglingRoute, "activated bundle has a dangling route",
 		map[string]any{"node": p.config.ID, "version": a.Version})
 	if !newer || !whole {
 		return
 	}
-	if c.current() == 0 {
-		p.counts.holdFirst(a.Version, p.started)
+	if c.newestVersion() == 0 {
+		p.counts.suppressFirstVersion(a.Version, p.started)
 	}
-	c.refusedReason, c.badParts = "", ""
+	c.refusedReason, c.partsError = "", ""
 	c.pending = append(c.pending, a)
 	p.emit(Activate{Approval: a, Bundle: b})
-	p.retain()
+	p.dropUnusedBundles()
 }
 
-// checked assembles a bundle and checks it as a whole.
-func (p *Peer) checked(digest bundle.Digest) (*bundle.Bundle, error) {
-	manifest, ok := p.content.store.Manifest(digest)
+// assemble assembles a bundle and checks it as a whole.
+func (p *Peer) assemble(digest bundle.Digest) (*bundle.Bundle, error) {
+	manifest, ok := p.bundles.store.Manifest(digest)
 	if !ok || manifest.Digest() != digest {
 		return nil, errors.Wrapf(bundle.ErrDigestMismatch, "%s", digest.Short())
 	}
-	b, err := p.content.store.Bundle(digest)
+	b, err := p.bundles.store.Bundle(digest)
 	if err != nil {
 		return nil, err
 	}
 	if err := checkNames(manifest, b); err != nil {
 		return nil, err
 	}
-	if err := danglingRoute(b); err != nil {
+	if err := checkReferences(b); err != nil {
 		return nil, err
 	}
 	if p.config.Validate != nil {
@@ -315,7 +315,7 @@
 	return nil
 }
 
-func danglingRoute(b *bundle.Bundle) error {
+func checkReferences(b *bundle.Bundle) error {
 	services := make(map[string]bool, len(b.Services))
 	for _, service := range b.Services {
 		services[service.Name] = true
@@ -342,7 +342,7 @@
 // Activated reports that the caller has put a version into force.
 func (p *Peer) Activated(now time.Time, version uint64) {
 	p.advance(now)
-	c := &p.content
+	c := &p.bundles
 	i := slices.IndexFunc(c.pending, func(a bundle.Approval) bool { return a.Version == version })
 	known := invariant.Check(i >= 0 || version == c.inForce.Version, invariant.VersionRollback,
 		"a version was put into force that is not the next one",
@@ -354,40 +354,40 @@
 	c.inForce = c.pending[i]
 	c.pending = slices.Clone(c.pending[i+1:])
 	p.counts.changed = true
-	p.retain()
+	p.dropUnusedBundles()
 }
 
-// retain drops the bundles of a node that nothing refers to any more.
-func (p *Peer) retain() {
+// dropUnusedBundles drops the bundles of a node that nothing refers to any more.
+func (p *Peer) dropUnusedBundles() {
 	if p.config.Member {
 		return
 	}
-	c := &p.content
-	c.store.Retain(append(c.offered(), c.used()...)...)
+	c := &p.bundles
+	c.store.Retain(append(c.offered(), c.recentlyActive()...)...)
 }
 
 // fetch asks the parent for a bundle, unless an answer may still arrive.
 func (p *Peer) fetch(target bundle.Digest) {
-	c := &p.content
+	c := &p.bundles
 	asked := c.fetchTarget == target || c.fetchTarget.IsZero() // Zero: the parent of a new link sends it unasked.
 	if p.parent == nil || asked && p.now.Before(c.fetchAt) {
 		return
 	}
 	c.fetchTarget, c.fetchAt = target, p.now.Add(fetchTimeout)
 	p.stats.Fetches++
-	p.send(p.parent, Message{Fetch: &Fetch{Target: target, Have: c.heldDigests()}})
+	p.send(p.parent, Message{Fetch: &Fetch{Target: target, Have: c.completeBundles()}})
 }
 
-// answerFetch sends the bundle. If it is not held here, offerAll sends it as soon as it is.
-func (p *Peer) answerFetch(l *link, f Fetch) {
-	l.holds = f.Have[:min(len(f.Have), maxHave)]
-	if p.content.store.Holds(f.Target) {
+// handleFetch sends the bundle. If it is not held here, offerAll sends it as soon as it is.
+func (p *Peer) handleFetch(l *link, f Fetch) {
+	l.remoteBundles = f.Have[:min(len(f.Have), maxListedBundles)]
+	if p.bundles.store.Holds(f.Target) {
 		p.sendParts(l, f.Target)
 	}
 }
 
-// offerAll sends the offered bundles to the children that do not hold them.
-func (p *Peer) offerAll() {
+// offerToChildren sends the offered bundles to the children that do not hold them.
+func (p *Peer) offerToChildren() {
 	for _, child := range p.children() {
 		if child.synced {
 			p.offer(child)
@@ -396,8 +396,8 @@
 }
 
 func (p *Peer) offer(l *link) {
-	for _, digest := range p.content.offered() {
-		if p.content.store.Holds(digest) && !slices.Contains(l.holds, digest) {
+	for _, digest := range p.bundles.offered() {
+		if p.bundles.store.Holds(digest) && !slices.Contains(l.remoteBundles, digest) {
 			p.sendParts(l, digest)
 		}
 	}
@@ -405,12 +405,12 @@
 
 // sendParts sends a bundle once, as the smaller of the difference from what the child holds and the whole.
 func (p *Peer) sendParts(l *link, target bundle.Digest) {
-	if slices.Contains(l.holds, target) {
+	if slices.Contains(l.remoteBundles, target) {
 		return
 	}
 	base := bundle.Digest{}
-	for _, digest := range l.holds {
-		if p.content.store.Holds(digest) {
+	for _, digest := range l.remoteBundles {
+		if p.bundles.store.Holds(digest) {
 			base = digest
 			break
 		}
@@ -419,8 +419,8 @@
 	if err != nil {
 		return
 	}
-	l.holds = slices.Insert(l.holds, 0, target)
-	l.holds = l.holds[:min(len(l.holds), maxHave)]
+	l.remoteBundles = slices.Insert(l.remoteBundles, 0, target)
+	l.remoteBundles = l.remoteBundles[:min(len(l.remoteBundles), maxListedBundles)]
 	p.stats.PartsSent++
 	p.send(l, Message{Parts: &parts})
 }
@@ -428,10 +428,10 @@
 // packUpdate returns the smaller of the difference and the whole bundle. Only a difference that names more than half
 // of the entries can be the larger one.
 func (p *Peer) packUpdate(base, target bundle.Digest) (Parts, error) {
-	if data, ok := p.content.packed[packKey{base: base, target: target}]; ok {
+	if data, ok := p.bundles.packed[packedKey{base: base, target: target}]; ok {
 		return Parts{Base: base, Target: target, Data: data}, nil
 	}
-	update, err := p.content.store.Update(base, target)
+	update, err := p.bundles.store.Update(base, target)
 	if err != nil {
 		return Parts{}, err
 	}
@@ -439,27 +439,27 @@
 	if err != nil {
 		return Parts{}, err
 	}
-	manifest, _ := p.content.store.Manifest(target)
+	manifest, _ := p.bundles.store.Manifest(target)
 	if !base.IsZero() && len(update.Delta.Set)+len(update.Delta.Removed) > len(manifest.Entries)/2 {
 		whole, err := p.packUpdate(bundle.Digest{}, target)
 		if err == nil && len(whole.Data) < len(data) {
 			return whole, nil
 		}
 	}
-	p.cachePacked(packKey{base: base, target: target}, data)
+	p.cachePacked(packedKey{base: base, target: target}, data)
 	return Parts{Base: base, Target: target, Data: data}, nil
 }
 
-func (p *Peer) cachePacked(key packKey, data []byte) {
-	if len(p.content.packed) >= packedCacheSize {
-		clear(p.content.packed)
+func (p *Peer) cachePacked(key packedKey, data []byte) {
+	if len(p.bundles.packed) >= maxPackedUpdates {
+		clear(p.bundles.packed)
 	}
-	p.content.packed[key] = data
+	p.bundles.packed[key] = data
 }
 
 // receiveParts adds a bundle. Nothing of it is kept unless all of it is correct.
 func (p *Peer) receiveParts(parts Parts) {
-	c := &p.content
+	c := &p.bundles
 	p.stats.PartsReceived++
 	if c.store.Holds(parts.Target) {
 		p.stats.PartsDuplicate++
@@ -468,16 +468,16 @@
 	if err := p.addParts(parts); err != nil {
 		p.stats.CorruptMessages++
 		if c.approved != nil && c.approved.Approval.Digest == parts.Target {
-			c.badParts = err.Error()
+			c.partsError = err.Error()
 			p.tryActivate()
 		}
 		return
 	}
-	c.badParts = ""
-	p.cachePacked(packKey{base: parts.Base, target: parts.Target}, parts.Data)
+	c.partsError = ""
+	p.cachePacked(packedKey{base: parts.Base, target: parts.Target}, parts.Data)
 	p.stage(parts.Target)
-	p.retain()
-	p.offerAll()
+	p.dropUnusedBundles()
+	p.offerToChildren()
 	p.tryActivate()
 }
 
@@ -489,5 +489,5 @@
 	if update.Base != parts.Base || update.Target != parts.Target {
 		return ErrUpdateMismatch
 	}
-	return p.content.store.Add(update)
+	return p.bundles.store.Add(update)
 }
--- a/coordination/relay/config.go
+++ b/coordination/relay/config.go
@@ -26,9 +26,9 @@
 	Incarnation uint64
 	// Member is set in control members.
 	Member bool
-	// Join lists addresses of nodes and members that are tried when nothing else is known.
-	Join []string
-	Keys Verifier
+	// JoinAddresses lists addresses of nodes and members that are tried when nothing else is known.
+	JoinAddresses []string
+	Keys          Verifier
 	// Validate checks an assembled bundle before it is activated. Nil accepts every bundle.
 	Validate func(*bundle.Bundle) error
 	Rand     *rand.Rand
@@ -42,22 +42,22 @@
 	// JoinsPerSecond and JoinBurst bound the joins that a member accepts.
 	JoinsPerSecond float64
 	JoinBurst      int
-	// JoinSpread spreads the first joins after a start, and joins at a member after the loss of a parent.
-	JoinSpread time.Duration
+	// JoinJitter spreads the first joins after a start, and joins at a member after the loss of a parent.
+	JoinJitter time.Duration
 	// PollInterval is the time between polls of the parent.
 	PollInterval time.Duration
 	// StaleAfter is the confirmed age at which a child of a member looks for another parent. It must be longer than
 	// PollInterval and the time in which a quorum confirms the member's state.
 	StaleAfter time.Duration
-	// ProbeMax bounds the pause between two rounds in which a node with a stale parent looks for another one.
-	ProbeMax time.Duration
-	// HomeProbe is the mean time between two attempts of a node that follows another zone to return to its own.
-	HomeProbe time.Duration
-	// MembersFirst makes nodes follow members as long as those have room, rather than each other. It suits deployments
+	// MaxProbeInterval bounds the pause between two rounds in which a node with a stale parent looks for another one.
+	MaxProbeInterval time.Duration
+	// HomeProbeInterval is the mean time between two attempts of a node that follows another zone to return to its own.
+	HomeProbeInterval time.Duration
+	// PreferMembers makes nodes follow members as long as those have room, rather than each other. It suits deployments
 	// that are small enough for the members to serve all nodes: no node then depends on another one.
-	MembersFirst bool
-	// TableLimit bounds the endpoint table.
-	TableLimit int
+	PreferMembers bool
+	// MaxRecords bounds the endpoint table.
+	MaxRecords int
 }
 
 // Defaults of Config.
@@ -67,14 +67,14 @@
 	DefaultRemoteFollowers = 1
 	DefaultJoinsPerSecond  = 16
 	DefaultJoinBurst       = 16
-	// DefaultJoinSpread spreads a herd of 16,000 nodes so that its joins cost the members no more than they can serve.
-	DefaultJoinSpread = 2 * time.Second
+	// DefaultJoinJitter spreads a herd of 16,000 nodes so that its joins cost the members no more than they can serve.
+	DefaultJoinJitter = 2 * time.Second
 	// DefaultPollInterval keeps the polls of 16,000 nodes within their 5 KB/s.
 	DefaultPollInterval = endpoints.PollInterval
-	// DefaultProbeMax keeps an outage of the quorum, in which no parent can help, from being filled with probes.
-	DefaultProbeMax = time.Minute
-	// DefaultHomeProbe keeps a zone that lost its members from being asked by all its nodes at once.
-	DefaultHomeProbe = 30 * time.Second
+	// DefaultMaxProbeInterval keeps an outage of the quorum, in which no parent can help, from being filled with probes.
+	DefaultMaxProbeInterval = time.Minute
+	// DefaultHomeProbeInterval keeps a zone that lost its members from being asked by all its nodes at once.
+	DefaultHomeProbeInterval = 30 * time.Second
 	// DefaultStaleAfter is a few polls, so that one lost poll moves no node.
 	DefaultStaleAfter = 4 * time.Second
 )
@@ -100,8 +100,8 @@
 	Latest *bundle.Approval
 	// Stopped is set when the latest approved version was stopped.
 	Stopped bool
-	// Held lists the bundles that are staged or approved. The store holds all of them.
-	Held []bundle.Digest
+	// Bundles lists the bundles that are staged or approved. The store holds all of them.
+	Bundles []bundle.Digest
 }
 
 // CrashReport tells about a crash of an upstream. The triple of upstream, incarnation and sequence identifies it.
--- a/coordination/relay/admit.go
+++ b/coordination/relay/join.go
@@ -6,19 +6,19 @@
 
 // tokenBucket bounds a rate.
 type tokenBucket struct {
-	rate   float64 // per second
-	burst  float64
-	tokens float64
-	at     time.Time
+	rate      float64 // per second
+	burst     float64
+	tokens    float64
+	updatedAt time.Time
 }
 
 func newTokenBucket(now time.Time, rate float64, burst int) tokenBucket {
-	return tokenBucket{rate: rate, burst: float64(burst), tokens: float64(burst), at: now}
+	return tokenBucket{rate: rate, burst: float64(burst), tokens: float64(burst), updatedAt: now}
 }
 
 func (b *tokenBucket) take(now time.Time) bool {
-	b.tokens = min(b.burst, b.tokens+now.Sub(b.at).Seconds()*b.rate)
-	b.at = now
+	b.tokens = min(b.burst, b.tokens+now.Sub(b.updatedAt).Seconds()*b.rate)
+	b.updatedAt = now
 	if b.tokens < 1 {
 		return false
 	}
@@ -28,36 +28,36 @@
 
 // Pauses that a refused joiner is told to make.
 const (
-	retryMin    = 300 * time.Millisecond
-	retryJitter = 700 * time.Millisecond
+	minRetryDelay    = 300 * time.Millisecond
+	retryDelayJitter = 700 * time.Millisecond
 )
 
-// admit decides about a join: accept, redirect to a peer with room, or refuse for a time.
-func (p *Peer) admit(l *link, join Join) {
+// handleJoin decides about a join: accept, redirect to a peer with room, or refuse for a time.
+func (p *Peer) handleJoin(l *link, join Join) {
 	if !p.replaceOldLink(l) {
-		p.discard(l)
+		p.closeLink(l)
 		return
 	}
-	if addresses, elsewhere := p.betterPlace(l, join); elsewhere {
-		p.redirect(l, addresses)
+	if addresses, elsewhere := p.redirectAddresses(l, join); elsewhere {
+		p.redirectJoin(l, addresses)
 		return
 	}
 	if !p.config.Member && p.parent == nil {
-		p.refuse(l)
+		p.delayJoin(l)
 		return
 	}
-	group, limit := p.group(l.remote.Zone)
+	group, limit := p.siblings(l.remote.Zone)
 	lower := lowerThan(group, l.remote.Order())
 	switch {
-	case len(group) < limit && p.takeToken():
-		p.accept(l, join)
+	case len(group) < limit && p.takeJoinToken():
+		p.acceptJoin(l, join)
 	case len(lower) > 0:
-		p.redirect(l, p.someAddresses(lower))
-	case len(group) >= limit && p.takeToken():
-		p.evict(group, l)
-		p.accept(l, join)
+		p.redirectJoin(l, p.randomAddresses(lower))
+	case len(group) >= limit && p.takeJoinToken():
+		p.evictChild(group, l)
+		p.acceptJoin(l, join)
 	default:
-		p.refuse(l)
+		p.delayJoin(l)
 	}
 }
 
@@ -70,15 +70,15 @@
 		if other.remote.Incarnation > l.remote.Incarnation {
 			return false
 		}
-		p.drop(other)
+		p.dropLink(other)
 	}
 	return true
 }
 
-// betterPlace returns where a joiner should go that must not or should not follow this peer.
-func (p *Peer) betterPlace(l *link, join Join) ([]string, bool) {
+// redirectAddresses returns where a joiner should go that must not or should not follow this peer.
+func (p *Peer) redirectAddresses(l *link, join Join) ([]string, bool) {
 	if l.remote.Member || !p.order.Before(l.remote.Order()) {
-		return p.upward(l.remote.Zone), true
+		return p.addressesAbove(l.remote.Zone), true
 	}
 	if l.remote.Zone == p.config.Zone {
 		return nil, false
@@ -94,8 +94,8 @@
 	return addresses, len(addresses) > 0
 }
 
-// upward returns where a joiner of lower order than this peer can go.
-func (p *Peer) upward(zone string) []string {
+// addressesAbove returns where a joiner of lower order than this peer can go.
+func (p *Peer) addressesAbove(zone string) []string {
 	addresses := p.memberAddresses(zone)
 	if p.parent != nil {
 		addresses = append([]string{p.parent.remote.Address}, addresses...)
@@ -124,18 +124,18 @@
 // nodeAddresses returns a few nodes in a joiner's zone that are of lower order than the joiner.
 func (p *Peer) nodeAddresses(joiner Hello) []string {
 	var addresses []string
-	for _, r := range p.spread.table.InZone(joiner.Zone) {
+	for _, r := range p.propagation.table.InZone(joiner.Zone) {
 		order := Order{Incarnation: r.Incarnation, ID: r.ID}
 		if order.Before(joiner.Order()) && !r.Expiring() && r.Address != "" {
 			addresses = append(addresses, r.Address)
 		}
 	}
 	p.shuffle(addresses)
-	return addresses[:min(len(addresses), redirectTargets)]
+	return addresses[:min(len(addresses), maxRedirectTargets)]
 }
 
-// group returns the children that share a bound with joiners of a zone, and the bound.
-func (p *Peer) group(zone string) ([]*link, int) {
+// siblings returns the children that share a bound with joiners of a zone, and the bound.
+func (p *Peer) siblings(zone string) ([]*link, int) {
 	if !p.config.Member {
 		return p.children(), p.config.FanOut
 	}
@@ -151,7 +151,7 @@
 	return group, p.config.RemoteFollowers
 }
 
-func (p *Peer) takeToken() bool { return !p.config.Member || p.joins.take(p.now) }
+func (p *Peer) takeJoinToken() bool { return !p.config.Member || p.joinLimiter.take(p.now) }
 
 func lowerThan(group []*link, order Order) []*link {
 	var lower []*link
@@ -163,49 +163,49 @@
 	return lower
 }
 
-func (p *Peer) someAddresses(links []*link) []string {
+func (p *Peer) randomAddresses(links []*link) []string {
 	addresses := make([]string, 0, len(links))
 	for _, l := range links {
 		addresses = append(addresses, l.remote.Address)
 	}
 	p.shuffle(addresses)
-	return addresses[:min(len(addresses), redirectTargets)]
+	return addresses[:min(len(addresses), maxRedirectTargets)]
 }
 
-func (p *Peer) accept(l *link, join Join) {
+func (p *Peer) acceptJoin(l *link, join Join) {
 	l.role = roleChild
-	l.holds = join.Held[:min(len(join.Held), maxHave)]
-	l.records = join.Records
+	l.remoteBundles = join.Bundles[:min(len(join.Bundles), maxListedBundles)]
+	l.joinRecords = join.Records
 	p.stats.JoinsAccepted++
-	delete(p.spread.watched, l.remote.ID)
+	delete(p.propagation.formerChildren, l.remote.ID)
 	p.counts.changed = true
-	p.send(l, Message{Accept: &Accept{Fresh: p.freshnessNow(), Approved: p.content.approved, Members: p.members}})
+	p.send(l, Message{Accept: &Accept{Freshness: p.currentFreshness(), Approved: p.bundles.approved, Members: p.members}})
 }
 
-func (p *Peer) redirect(l *link, addresses []string) {
+func (p *Peer) redirectJoin(l *link, addresses []string) {
 	p.stats.JoinsRedirected++
 	p.send(l, Message{Redirect: &Redirect{Addresses: addresses}})
-	p.discard(l)
+	p.closeLink(l)
 }
 
-func (p *Peer) refuse(l *link) {
+func (p *Peer) delayJoin(l *link) {
 	p.stats.JoinsDelayed++
-	delay := retryMin + p.random(retryJitter)
+	delay := minRetryDelay + p.random(retryDelayJitter)
 	p.send(l, Message{RetryAfter: &RetryAfter{DelayMs: delay.Milliseconds()}})
-	p.discard(l)
+	p.closeLink(l)
 }
 
-// evict makes room for a joiner that is of lower order than all children: the child of highest order is sent to the
+// evictChild makes room for a joiner that is of lower order than all children: the child of highest order is sent to the
 // joiner and its siblings. Each eviction lowers the order of the children, so evictions come to an end.
-func (p *Peer) evict(group []*link, joiner *link) {
+func (p *Peer) evictChild(group []*link, joiner *link) {
 	last := group[0]
 	for _, child := range group[1:] {
 		if last.remote.Order().Before(child.remote.Order()) {
 			last = child
 		}
 	}
-	siblings := p.someAddresses(lowerThan(group, last.remote.Order()))
+	siblings := p.randomAddresses(lowerThan(group, last.remote.Order()))
 	siblings = append(siblings, joiner.remote.Address)
 	p.send(last, Message{Redirect: &Redirect{Addresses: siblings}})
-	p.drop(last)
+	p.dropLink(last)
 }
--- a/coordination/relay/link.go
+++ b/coordination/relay/link.go
@@ -25,13 +25,13 @@
 
 // link is one open or opening link.
 type link struct {
-	id       LinkID
-	role     role
-	outbound bool
-	address  string
-	remote   Hello
-	opened   time.Time
-	heard    time.Time
+	id           LinkID
+	role         role
+	outbound     bool
+	address      string
+	remote       Hello
+	openedAt     time.Time
+	lastReceived time.Time
 
 	// Of the side that polls.
 	nextPoll time.Time
@@ -40,12 +40,12 @@
 	anyZone  bool
 
 	// Of the side that is polled.
-	synced     bool
-	records    int // size of the other side's table when it joined
-	holds      []bundle.Digest
-	counts     Aggregate
-	mismatches int
-	comparedAt time.Time
+	synced           bool
+	joinRecords      int // size of the other side's table when it joined
+	remoteBundles    []bundle.Digest
+	counts           Aggregate
+	digestMismatches int
+	comparedAt       time.Time
 
 	sentCounts Aggregate
 }
@@ -68,16 +68,16 @@
 		p.emit(Close{Link: id}) // The attempt was given up while the dial was in progress.
 		return
 	}
-	l.remote, l.opened, l.heard = remote, p.now, p.now
+	l.remote, l.openedAt, l.lastReceived = remote, p.now, p.now
 	if p.config.Member {
 		p.memberUp(l)
 		return
 	}
-	p.candidateUp(l)
+	p.requestJoin(l)
 }
 
 func (p *Peer) inboundUp(id LinkID, remote Hello) {
-	l := &link{id: id, remote: remote, role: rolePending, opened: p.now, heard: p.now}
+	l := &link{id: id, remote: remote, role: rolePending, openedAt: p.now, lastReceived: p.now}
 	p.addLink(l)
 	if p.config.Member && remote.Member {
 		p.memberUp(l)
@@ -88,24 +88,24 @@
 func (p *Peer) LinkDown(now time.Time, id LinkID, _ error) {
 	p.advance(now)
 	if l, ok := p.links[id]; ok {
-		p.ended(l)
+		p.handleLinkEnd(l)
 	}
 }
 
-// drop closes a link and lets the state that depends on it go.
-func (p *Peer) drop(l *link) {
+// dropLink closes a link and lets the state that depends on it go.
+func (p *Peer) dropLink(l *link) {
 	p.emit(Close{Link: l.id})
-	p.ended(l)
+	p.handleLinkEnd(l)
 }
 
-// ended removes a link that is closed.
-func (p *Peer) ended(l *link) {
+// handleLinkEnd removes a link that is closed.
+func (p *Peer) handleLinkEnd(l *link) {
 	p.removeLink(l)
 	switch l.role {
 	case roleParent:
-		p.parentLost()
+		p.handleParentLoss()
 	case roleChild:
-		p.watch(l)
+		p.addFormerChild(l)
 		p.counts.changed = true
 	case roleMember:
 		p.memberDown(l)
@@ -117,13 +117,13 @@
 // checkLinks gives up the links that are silent for too long.
 func (p *Peer) checkLinks() {
 	for _, l := range p.linksOf(rolePending, roleParent, roleChild, roleMember) {
-		if p.now.Sub(l.heard) >= silenceLimit {
-			p.drop(l)
+		if p.now.Sub(l.lastReceived) >= linkTimeout {
+			p.dropLink(l)
 		}
 	}
 	for _, l := range p.linksOf(roleDialing, roleCandidate) {
-		if p.now.Sub(l.opened) >= attemptTimeout {
-			p.drop(l)
+		if p.now.Sub(l.openedAt) >= joinTimeout {
+			p.dropLink(l)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 	if !ok {
 		return // The link was closed while the message was in flight.
 	}
-	l.heard = p.now
+	l.lastReceived = p.now
 	switch l.role {
 	case rolePending:
 		p.stepPending(l, m)
@@ -150,61 +150,61 @@
 
 func (p *Peer) stepPending(l *link, m Message) {
 	if m.Join != nil {
-		p.admit(l, *m.Join)
+		p.handleJoin(l, *m.Join)
 	}
 }
 
 func (p *Peer) stepCandidate(l *link, m Message) {
 	switch {
 	case m.Accept != nil:
-		p.accepted(l, *m.Accept)
+		p.handleAccept(l, *m.Accept)
 	case m.Redirect != nil:
-		p.redirected(l, m.Redirect.Addresses)
+		p.handleRedirect(l, m.Redirect.Addresses)
 	case m.RetryAfter != nil:
-		p.delayed(l, *m.RetryAfter)
+		p.handleRetryAfter(l, *m.RetryAfter)
 	}
 }
 
 func (p *Peer) stepParent(l *link, m Message) {
 	switch {
 	case m.PollReply != nil:
-		p.pollAnswered(l, *m.PollReply)
+		p.handlePollReply(l, *m.PollReply)
 	case m.Approved != nil:
-		p.learnApproval(*m.Approved)
+		p.receiveApproval(*m.Approved)
 	case m.Parts != nil:
 		p.receiveParts(*m.Parts)
 	case m.Members != nil:
 		p.learnMembers(m.Members.Members)
 	case m.Redirect != nil:
-		p.evicted(l, m.Redirect.Addresses)
+		p.handleEviction(l, m.Redirect.Addresses)
 	default:
-		p.stepShared(l, m)
+		p.stepCommon(l, m)
 	}
 }
 
 func (p *Peer) stepPolled(l *link, m Message) {
 	switch {
 	case m.Poll != nil:
-		p.answerPoll(l, *m.Poll)
+		p.handlePoll(l, *m.Poll)
 	case m.PollReply != nil:
 		// Between members the reply only shows that the other side is alive.
 	case m.Aggregate != nil:
 		p.setCounts(l, *m.Aggregate)
 	case m.Fetch != nil && l.role == roleChild:
-		p.answerFetch(l, *m.Fetch)
+		p.handleFetch(l, *m.Fetch)
 	case m.Leave != nil && l.role == roleChild:
-		p.drop(l)
+		p.dropLink(l)
 	default:
-		p.stepShared(l, m)
+		p.stepCommon(l, m)
 	}
 }
 
-func (p *Peer) stepShared(l *link, m Message) {
+func (p *Peer) stepCommon(l *link, m Message) {
 	switch {
 	case m.Endpoints != nil:
 		p.receiveRecords(l, *m.Endpoints)
 	case m.Compare != nil:
-		p.answerCompare(l, *m.Compare)
+		p.handleCompare(l, *m.Compare)
 	case m.Crashes != nil:
 		p.receiveCrashes(l, m.Crashes.Reports)
 	}
--- a/coordination/relay/members.go
+++ b/coordination/relay/members.go
@@ -7,31 +7,31 @@
 	"sapphiregate.example/sapphiregate/coordination/endpoints"
 )
 
-// redialPause is the mean time between two dials of one member.
-const redialPause = time.Second
+// memberRedialInterval is the mean time between two dials of one member.
+const memberRedialInterval = time.Second
 
-// fullScan is the number of searches for orphaned records of which one covers all records. The others only run in
+// fullScanEvery is the number of searches for orphaned records of which one covers all records. The others only run in
 // members, and only while a parent is known to be lost: a search costs about 1 ms at 16,000 records.
-const fullScan = 10
+const fullScanEvery = 10
 
 func (p *Peer) setMembers(members []MemberInfo) {
 	p.learnMembers(members)
 	known := make(map[string]bool, len(members))
 	for _, m := range members {
 		known[m.ID] = true
-		if _, ok := p.lost[m.ID]; !ok && m.ID != p.config.ID && p.memberLink(m.ID) == nil {
-			p.lost[m.ID] = p.now
+		if _, ok := p.unlinkedSince[m.ID]; !ok && m.ID != p.config.ID && p.memberLink(m.ID) == nil {
+			p.unlinkedSince[m.ID] = p.now
 		}
 	}
-	for id := range p.lost {
+	for id := range p.unlinkedSince {
 		if !known[id] {
-			delete(p.lost, id)
-			delete(p.redialAt, id)
+			delete(p.unlinkedSince, id)
+			delete(p.nextRedial, id)
 		}
 	}
 	for _, l := range p.linksOf(roleMember) {
 		if !known[l.remote.ID] {
-			p.drop(l)
+			p.dropLink(l)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 	p.members = slices.Clone(members)
 	if !knewHome && p.knowsHomeMember() {
 		// The whole content follows soon after the first list; it should not come from another zone.
-		p.seekHomeSoon()
+		p.scheduleHomeProbe()
 	}
 	for _, child := range p.children() {
 		p.send(child, Message{Members: &Members{Members: p.members}})
@@ -68,10 +68,10 @@
 // dialMembers opens links to the members with a smaller ID.
 func (p *Peer) dialMembers() {
 	for _, m := range p.members {
-		if m.ID >= p.config.ID || p.memberLink(m.ID) != nil || p.now.Before(p.redialAt[m.ID]) {
+		if m.ID >= p.config.ID || p.memberLink(m.ID) != nil || p.now.Before(p.nextRedial[m.ID]) {
 			continue
 		}
-		p.redialAt[m.ID] = p.now.Add(redialPause/2 + p.random(redialPause))
+		p.nextRedial[m.ID] = p.now.Add(memberRedialInterval/2 + p.random(memberRedialInterval))
 		if !p.dialing(m.Address) {
 			p.dial(m.Address)
 		}
@@ -90,14 +90,14 @@
 // memberUp opens a link between two members. A newer link of one member replaces the older one.
 func (p *Peer) memberUp(l *link) {
 	if !l.remote.Member || l.remote.ID == p.config.ID {
-		p.discard(l)
+		p.closeLink(l)
 		return
 	}
 	if old := p.memberLink(l.remote.ID); old != nil {
-		p.discard(old)
+		p.closeLink(old)
 	}
 	l.role = roleMember
-	delete(p.lost, l.remote.ID)
+	delete(p.unlinkedSince, l.remote.ID)
 	if l.outbound {
 		p.poll(l)
 		p.sendCrashes(l)
@@ -107,7 +107,7 @@
 
 func (p *Peer) memberDown(l *link) {
 	if p.memberLink(l.remote.ID) == nil {
-		p.lost[l.remote.ID] = l.heard
+		p.unlinkedSince[l.remote.ID] = l.lastReceived
 	}
 	p.counts.changed = true
 }
@@ -116,14 +116,14 @@
 // parents and children fail together, and the restart of a parent, which forgets whom it watched. Every peer looks for
 // former children of its own; the members look for the children of all others.
 func (p *Peer) suspectOrphans() {
-	s := &p.spread
-	if p.now.Before(s.orphanAt) {
+	s := &p.propagation
+	if p.now.Before(s.nextOrphanScan) {
 		return
 	}
-	s.orphanAt = p.now.Add(orphanScan)
-	p.scans++
-	full := p.scans%fullScan == 0
-	if !full && (!p.config.Member || s.table.ExpiringCount() == 0 && len(p.lost) == 0) {
+	s.nextOrphanScan = p.now.Add(orphanScanInterval)
+	p.orphanScans++
+	full := p.orphanScans%fullScanEvery == 0
+	if !full && (!p.config.Member || s.table.ExpiringCount() == 0 && len(p.unlinkedSince) == 0) {
 		return
 	}
 	following := make(map[string]bool)
@@ -131,32 +131,32 @@
 		following[child.remote.ID] = true
 	}
 	orphans := s.table.Select(func(r endpoints.Record, updated time.Time) bool {
-		return !r.Expiring() && r.Parent != "" && !following[r.ID] && p.orphaned(r, updated)
+		return !r.Expiring() && r.Parent != "" && !following[r.ID] && p.isOrphaned(r, updated)
 	})
 	for _, r := range orphans {
 		p.suspect(r.ID)
 	}
 }
 
-func (p *Peer) orphaned(r endpoints.Record, updated time.Time) bool {
+func (p *Peer) isOrphaned(r endpoints.Record, updated time.Time) bool {
 	if r.Parent == p.config.ID {
-		return p.now.Sub(updated) >= memberLost && p.now.Sub(p.started) >= memberLost
+		return p.now.Sub(updated) >= memberLossTimeout && p.now.Sub(p.started) >= memberLossTimeout
 	}
 	if !p.config.Member {
 		return false
 	}
-	if since, ok := p.lost[r.Parent]; ok {
-		return p.now.Sub(since) >= memberLost && updated.Before(since)
+	if since, ok := p.unlinkedSince[r.Parent]; ok {
+		return p.now.Sub(since) >= memberLossTimeout && updated.Before(since)
 	}
 	if p.isMember(r.Parent) {
 		return false
 	}
-	parent, ok := p.spread.table.Get(r.Parent)
+	parent, ok := p.propagation.table.Get(r.Parent)
 	if !ok {
 		return p.now.Sub(updated) >= endpoints.RemoveAfter && p.now.Sub(p.started) >= endpoints.RemoveAfter
 	}
-	suspected, _ := p.spread.table.UpdatedAt(r.Parent)
-	return parent.Expiring() && p.now.Sub(suspected) >= orphanGrace && p.now.Sub(updated) >= orphanGrace
+	suspected, _ := p.propagation.table.UpdatedAt(r.Parent)
+	return parent.Expiring() && p.now.Sub(suspected) >= orphanGracePeriod && p.now.Sub(updated) >= orphanGracePeriod
 }
 
 func (p *Peer) isMember(id string) bool {
--- a/coordination/relay/message.go
+++ b/coordination/relay/message.go
@@ -40,8 +40,8 @@
 type Join struct {
 	// AnyZone is set when the sender found no usable parent in its own zone.
 	AnyZone bool `cbor:"1,keyasint,omitempty"`
-	// Held lists the bundles that the sender holds completely.
-	Held []bundle.Digest `cbor:"2,keyasint,omitempty"`
+	// Bundles lists the bundles that the sender holds completely.
+	Bundles []bundle.Digest `cbor:"2,keyasint,omitempty"`
 	// Records is the size of the sender's endpoint table, TableDigest its digest.
 	Records     int    `cbor:"3,keyasint,omitempty"`
 	TableDigest uint64 `cbor:"4,keyasint,omitempty"`
@@ -49,7 +49,7 @@
 
 // Accept makes the sender the parent.
 type Accept struct {
-	Fresh Freshness `cbor:"1,keyasint"`
+	Freshness Freshness `cbor:"1,keyasint"`
 	// Approved is the latest approval that the parent knows.
 	Approved *Approved `cbor:"2,keyasint,omitempty"`
 	// Members lists the control members.
@@ -89,8 +89,8 @@
 
 // PollReply answers one poll.
 type PollReply struct {
-	Sequence uint64    `cbor:"1,keyasint"`
-	Fresh    Freshness `cbor:"2,keyasint"`
+	Sequence  uint64    `cbor:"1,keyasint"`
+	Freshness Freshness `cbor:"2,keyasint"`
 }
 
 // Aggregate describes the nodes of a subtree, with the sender if it is a node.
@@ -140,15 +140,15 @@
 
 // Endpoints carries endpoint records. Large sets are encoded in CBOR and compressed by zstd in Packed.
 type Endpoints struct {
-	Records []endpoints.Record `cbor:"1,keyasint,omitempty"`
-	Packed  []byte             `cbor:"2,keyasint,omitempty"`
+	Records    []endpoints.Record `cbor:"1,keyasint,omitempty"`
+	Compressed []byte             `cbor:"2,keyasint,omitempty"`
 	// Buckets lists the buckets that the records are the whole content of. The receiver answers with its newer records.
 	Buckets []uint8 `cbor:"3,keyasint,omitempty"`
 }
 
 // Compare carries the bucket digests of the sender's table, 8 bytes each in little-endian order.
 type Compare struct {
-	Sums []byte `cbor:"1,keyasint"`
+	BucketDigests []byte `cbor:"1,keyasint"`
 }
 
 // Crashes carries crash reports.
--- a/coordination/relay/peer.go
+++ b/coordination/relay/peer.go
@@ -17,40 +17,40 @@
 	outputs []Output
 	stats   Stats
 
-	links    map[LinkID]*link
-	ordered  []*link // by number, so that runs with one seed are equal
-	dialed   uint64
-	parent   *link
-	attach   attach
-	members  []MemberInfo
-	lost     map[string]time.Time // members without a link, since when
-	redialAt map[string]time.Time // when a member may be dialed again
-	scans    int                  // searches for orphaned records
-	joins    tokenBucket
-
-	fresh   freshness
-	content content
-	counts  counts
-	spread  spread
+	links         map[LinkID]*link
+	sortedLinks   []*link // by number, so that runs with one seed are equal
+	dialCount     uint64
+	parent        *link
+	search        parentSearch
+	members       []MemberInfo
+	unlinkedSince map[string]time.Time // members without a link, since when
+	nextRedial    map[string]time.Time // when a member may be dialed again
+	orphanScans   int                  // searches for orphaned records
+	joinLimiter   tokenBucket
+
+	freshness   freshness
+	bundles     bundleState
+	counts      countReport
+	propagation propagation
 }
 
 // New returns a peer that has just started, with empty memory.
 func New(now time.Time, c Config) *Peer {
 	c = c.withDefaults()
 	p := &Peer{
-		config:   c,
-		order:    Order{Member: c.Member, Incarnation: c.Incarnation, ID: c.ID},
-		started:  now,
-		now:      now,
-		links:    make(map[LinkID]*link),
-		lost:     make(map[string]time.Time),
-		redialAt: make(map[string]time.Time),
-		joins:    newTokenBucket(now, c.JoinsPerSecond, c.JoinBurst),
-		content:  newContent(),
-		spread:   newSpread(now, c),
+		config:        c,
+		order:         Order{Member: c.Member, Incarnation: c.Incarnation, ID: c.ID},
+		started:       now,
+		now:           now,
+		links:         make(map[LinkID]*link),
+		unlinkedSince: make(map[string]time.Time),
+		nextRedial:    make(map[string]time.Time),
+		joinLimiter:   newTokenBucket(now, c.JoinsPerSecond, c.JoinBurst),
+		bundles:       newBundleState(),
+		propagation:   newPropagation(now, c),
 	}
-	p.attach = newAttach(now.Add(p.random(p.config.JoinSpread)))
-	p.attach.probePause = p.probeMin()
+	p.search = newParentSearch(now.Add(p.random(p.config.JoinJitter)))
+	p.search.probeInterval = p.minProbeInterval()
 	if !c.Member {
 		p.Announce(now, endpoints.Record{State: endpoints.Serving, Address: c.Address})
 	}
@@ -70,11 +70,11 @@
 	if p.config.Member {
 		p.dialMembers()
 	} else {
-		p.seekParent()
+		p.searchForParent()
 	}
 	p.pollAll()
 	p.tryActivate()
-	p.suspectSilent()
+	p.suspectFormerChildren()
 	p.suspectOrphans()
 	p.flushRecords()
 	p.flushCounts()
@@ -84,7 +84,7 @@
 	if now.After(p.now) {
 		p.now = now
 	}
-	if removed := p.spread.table.Advance(p.now); len(removed) > 0 {
+	if removed := p.propagation.table.Advance(p.now); len(removed) > 0 {
 		ids := make([]string, 0, len(removed))
 		for _, record := range removed {
 			ids = append(ids, record.ID)
@@ -102,7 +102,7 @@
 }
 
 // Table returns the endpoint table. The caller only reads it, on the goroutine that drives the peer.
-func (p *Peer) Table() *endpoints.Table { return p.spread.table }
+func (p *Peer) Table() *endpoints.Table { return p.propagation.table }
 
 // SetSource tells a member that its registry changed. The store stays owned by the caller.
 func (p *Peer) SetSource(now time.Time, s Source, store *bundle.Store) {
@@ -114,11 +114,11 @@
 // must include everything that was committed at that time.
 func (p *Peer) SetConfirmed(now time.Time, age time.Duration) {
 	p.advance(now)
-	p.fresh.update(p.now, p.latestVersion(), p.now, age)
+	p.freshness.update(p.now, p.latestVersion(), p.now, age)
 }
 
-// SetJoin replaces the addresses that are tried when nothing else is known.
-func (p *Peer) SetJoin(addresses []string) { p.config.Join = addresses }
+// SetJoinAddresses replaces the addresses that are tried when nothing else is known.
+func (p *Peer) SetJoinAddresses(addresses []string) { p.config.JoinAddresses = addresses }
 
 // SetMembers tells a member which control members exist, itself included. It dials those with a smaller ID.
 func (p *Peer) SetMembers(now time.Time, members []MemberInfo) {
@@ -138,7 +138,7 @@
 // linksOf returns the links with one of the roles, in the order of their numbers.
 func (p *Peer) linksOf(roles ...role) []*link {
 	var found []*link
-	for _, l := range p.ordered {
+	for _, l := range p.sortedLinks {
 		if slices.Contains(roles, l.role) {
 			found = append(found, l)
 		}
@@ -148,15 +148,15 @@
 
 func (p *Peer) addLink(l *link) {
 	p.links[l.id] = l
-	i, _ := slices.BinarySearchFunc(p.ordered, l.id, (*link).compareID)
-	p.ordered = slices.Insert(p.ordered, i, l)
+	i, _ := slices.BinarySearchFunc(p.sortedLinks, l.id, (*link).compareID)
+	p.sortedLinks = slices.Insert(p.sortedLinks, i, l)
 }
 
 func (p *Peer) removeLink(l *link) {
 	delete(p.links, l.id)
-	i, ok := slices.BinarySearchFunc(p.ordered, l.id, (*link).compareID)
+	i, ok := slices.BinarySearchFunc(p.sortedLinks, l.id, (*link).compareID)
 	if ok {
-		p.ordered = slices.Delete(p.ordered, i, i+1)
+		p.sortedLinks = slices.Delete(p.sortedLinks, i, i+1)
 	}
 }
 
@@ -166,11 +166,11 @@
 func (p *Peer) Status() Status {
 	s := Status{
 		ID: p.config.ID, Zone: p.config.Zone, Member: p.config.Member,
-		InForce: p.content.inForce.Version, Stopped: p.content.stopped(), Refused: p.content.refusal(),
-		Confirmed: p.fresh.confirmed, ConfirmedVersion: p.fresh.version, Age: p.fresh.ageAt(p.now),
-		Stale: p.stale(), Depth: p.fresh.depth, Subtree: p.subtree(), Total: p.total(), Stats: p.stats,
+		InForce: p.bundles.inForce.Version, Stopped: p.bundles.stopped(), Refused: p.bundles.refusal(),
+		Confirmed: p.freshness.confirmed, ConfirmedVersion: p.freshness.version, Age: p.freshness.ageAt(p.now),
+		Stale: p.hasStaleParent(), Depth: p.freshness.depth, Subtree: p.subtree(), Total: p.total(), Stats: p.stats,
 	}
-	if a := p.content.approved; a != nil {
+	if a := p.bundles.approved; a != nil {
 		approval := a.Approval
 		s.Approved = &approval
 	}
@@ -190,11 +190,11 @@
 	setDefault(&c.RemoteFollowers, DefaultRemoteFollowers)
 	setDefault(&c.JoinsPerSecond, DefaultJoinsPerSecond)
 	setDefault(&c.JoinBurst, DefaultJoinBurst)
-	setDefault(&c.JoinSpread, DefaultJoinSpread)
+	setDefault(&c.JoinJitter, DefaultJoinJitter)
 	setDefault(&c.PollInterval, DefaultPollInterval)
 	setDefault(&c.StaleAfter, DefaultStaleAfter)
-	setDefault(&c.HomeProbe, DefaultHomeProbe)
-	setDefault(&c.ProbeMax, DefaultProbeMax)
+	setDefault(&c.HomeProbeInterval, DefaultHomeProbeInterval)
+	setDefault(&c.MaxProbeInterval, DefaultMaxProbeInterval)
 	return c
 }
 
--- a/coordination/relay/poll.go
+++ b/coordination/relay/poll.go
@@ -7,11 +7,11 @@
 // freshness is what a peer knows about how current its state is: at some time within the last ageAt(now), version was
 // the latest approved version. It uses durations on the local monotonic clock only.
 type freshness struct {
-	confirmed bool
-	version   uint64
-	anchor    time.Time
-	age       time.Duration // at anchor
-	depth     int
+	confirmed  bool
+	version    uint64
+	measuredAt time.Time
+	age        time.Duration // at anchor
+	depth      int
 }
 
 // ageAt bounds the time since the confirmation. The factor covers clocks of different rate.
@@ -19,7 +19,7 @@
 	if !f.confirmed {
 		return 0
 	}
-	return time.Duration(float64(now.Sub(f.anchor)+f.age) * clockDrift)
+	return time.Duration(float64(now.Sub(f.measuredAt)+f.age) * clockDriftFactor)
 }
 
 // update takes in a confirmation of a version that had the given age at anchor. A lower version than the known one is
@@ -30,47 +30,47 @@
 		return
 	}
 	f.version = version
-	if !f.confirmed || now.Sub(anchor)+age < now.Sub(f.anchor)+f.age {
-		f.anchor, f.age = anchor, age
+	if !f.confirmed || now.Sub(anchor)+age < now.Sub(f.measuredAt)+f.age {
+		f.measuredAt, f.age = anchor, age
 	}
 	f.confirmed = true
 }
 
-// freshnessNow is what this peer tells its children.
-func (p *Peer) freshnessNow() Freshness {
-	if !p.fresh.confirmed {
-		return Freshness{Depth: p.fresh.depth}
+// currentFreshness is what this peer tells its children.
+func (p *Peer) currentFreshness() Freshness {
+	if !p.freshness.confirmed {
+		return Freshness{Depth: p.freshness.depth}
 	}
-	age := p.fresh.ageAt(p.now)
+	age := p.freshness.ageAt(p.now)
 	roundedUp := (age + time.Millisecond - 1) / time.Millisecond
-	return Freshness{Confirmed: true, Version: p.fresh.version, AgeMs: int64(roundedUp), Depth: p.fresh.depth}
+	return Freshness{Confirmed: true, Version: p.freshness.version, AgeMs: int64(roundedUp), Depth: p.freshness.depth}
 }
 
-// confirm takes in the parent's answer to a request that was sent at the given time.
-func (p *Peer) confirm(sent time.Time, f Freshness) {
-	p.fresh.depth = f.Depth + 1
+// updateFreshness takes in the parent's answer to a request that was sent at the given time.
+func (p *Peer) updateFreshness(sent time.Time, f Freshness) {
+	p.freshness.depth = f.Depth + 1
 	if !f.Confirmed || f.AgeMs < 0 {
 		return
 	}
-	p.fresh.update(p.now, f.Version, sent, time.Duration(f.AgeMs)*time.Millisecond)
+	p.freshness.update(p.now, f.Version, sent, time.Duration(f.AgeMs)*time.Millisecond)
 }
 
 // staleLimit is the confirmed age from which on the peer looks for another parent. Each level below the first adds half of
 // the limit, so that the child closest to the stale source moves first and the subtrees below it stay as they are.
 func (p *Peer) staleLimit() time.Duration {
-	if p.content.current() == 0 && !p.config.Member {
+	if p.bundles.newestVersion() == 0 && !p.config.Member {
 		// Nothing is in force: any member that has the confirmation of a quorum is better than waiting for this one.
 		return p.config.StaleAfter / 3
 	}
-	return p.config.StaleAfter + time.Duration(max(0, p.fresh.depth-1))*p.config.StaleAfter/2
+	return p.config.StaleAfter + time.Duration(max(0, p.freshness.depth-1))*p.config.StaleAfter/2
 }
 
-// stale reports whether the parent fails to give freshness.
-func (p *Peer) stale() bool {
-	if p.parent == nil || p.now.Sub(p.parent.opened) < p.staleLimit() {
+// hasStaleParent reports whether the parent fails to give freshness.
+func (p *Peer) hasStaleParent() bool {
+	if p.parent == nil || p.now.Sub(p.parent.openedAt) < p.staleLimit() {
 		return false
 	}
-	return !p.fresh.confirmed || p.fresh.ageAt(p.now) > p.staleLimit()
+	return !p.freshness.confirmed || p.freshness.ageAt(p.now) > p.staleLimit()
 }
 
 // pollAll sends the polls that are due: to the parent, and between members from the side that dialed.
@@ -86,13 +86,13 @@
 	l.sequence++
 	l.pollSent[l.sequence%uint64(len(l.pollSent))] = p.now
 	interval := p.config.PollInterval
-	if p.content.current() == 0 && !p.config.Member && p.now.Sub(p.started) < 2*p.config.StaleAfter {
+	if p.bundles.newestVersion() == 0 && !p.config.Member && p.now.Sub(p.started) < 2*p.config.StaleAfter {
 		// A node that has just started serves nobody until a quorum has confirmed its first version.
-		interval /= hungryPolls
+		interval /= startupPollFactor
 	}
 	jitter := time.Duration((2*p.config.Rand.Float64() - 1) * pollJitter * float64(interval))
 	l.nextPoll = p.now.Add(interval + jitter)
-	poll := &Poll{Sequence: l.sequence, TableDigest: p.spread.table.Digest()}
+	poll := &Poll{Sequence: l.sequence, TableDigest: p.propagation.table.Digest()}
 	if report := p.report(); !report.equal(l.sentCounts) {
 		poll.Counts = &report
 		p.noteReported(l, report)
@@ -100,16 +100,16 @@
 	p.send(l, Message{Poll: poll})
 }
 
-func (p *Peer) pollAnswered(l *link, reply PollReply) {
+func (p *Peer) handlePollReply(l *link, reply PollReply) {
 	if reply.Sequence == 0 || reply.Sequence > l.sequence || reply.Sequence+uint64(len(l.pollSent)) <= l.sequence {
 		return
 	}
-	p.confirm(l.pollSent[reply.Sequence%uint64(len(l.pollSent))], reply.Fresh)
+	p.updateFreshness(l.pollSent[reply.Sequence%uint64(len(l.pollSent))], reply.Freshness)
 	p.tryActivate()
 }
 
-func (p *Peer) answerPoll(l *link, poll Poll) {
-	p.send(l, Message{PollReply: &PollReply{Sequence: poll.Sequence, Fresh: p.freshnessNow()}})
+func (p *Peer) handlePoll(l *link, poll Poll) {
+	p.send(l, Message{PollReply: &PollReply{Sequence: poll.Sequence, Freshness: p.currentFreshness()}})
 	if poll.Counts != nil {
 		p.setCounts(l, *poll.Counts)
 	}
--- a/coordination/relay/spread.go
+++ b/coordination/relay/propagation.go
@@ -11,24 +11,24 @@
 
 // Bounds of one message of records.
 const (
-	// packFrom is the number of records from which on compression saves bytes.
-	packFrom = 8
-	// chunkRecords keeps a message below about 400 KB before compression.
-	chunkRecords = 4096
-	// smallTable is the size up to which the whole table is sent instead of 2 KB of bucket digests.
-	smallTable = 32
+	// minCompressedRecords is the number of records from which on compression saves bytes.
+	minCompressedRecords = 8
+	// maxRecordsPerMessage keeps a message below about 400 KB before compression.
+	maxRecordsPerMessage = 4096
+	// maxUnbucketedRecords is the size up to which the whole table is sent instead of 2 KB of bucket digests.
+	maxUnbucketedRecords = 32
 )
 
-// watch is a former child that is to be published as suspect unless it announces itself again.
-type watch struct {
-	incarnation uint64
-	heard       time.Time
+// formerChild is a former child that is to be published as suspect unless it announces itself again.
+type formerChild struct {
+	incarnation  uint64
+	lastReceived time.Time
 }
 
-// crash is a known crash report.
-type crash struct {
-	report CrashReport
-	at     time.Time // receipt
+// receivedCrash is a known receivedCrash report.
+type receivedCrash struct {
+	report     CrashReport
+	receivedAt time.Time // receipt
 }
 
 type crashKey struct {
@@ -36,25 +36,25 @@
 	incarnation, sequence uint64
 }
 
-// spread is the state of the distribution of endpoint records and crash reports.
-type spread struct {
+// propagation is the state of the distribution of endpoint records and crash reports.
+type propagation struct {
 	table *endpoints.Table
 	own   endpoints.Record
-	// dirty holds the records to be passed on, with the link that they came from; 0 for records from here.
-	dirty    map[string]LinkID
-	watched  map[string]watch
-	orphanAt time.Time
-	crashes  []crash
-	seen     map[crashKey]bool
+	// unsent holds the records to be passed on, with the link that they came from; 0 for records from here.
+	unsent         map[string]LinkID
+	formerChildren map[string]formerChild
+	nextOrphanScan time.Time
+	crashes        []receivedCrash
+	knownCrashes   map[crashKey]bool
 }
 
-func newSpread(now time.Time, c Config) spread {
-	return spread{
-		table:   endpoints.NewTable(now, c.TableLimit),
-		own:     endpoints.Record{ID: c.ID, Incarnation: c.Incarnation, Zone: c.Zone},
-		dirty:   make(map[string]LinkID),
-		watched: make(map[string]watch),
-		seen:    make(map[crashKey]bool),
+func newPropagation(now time.Time, c Config) propagation {
+	return propagation{
+		table:          endpoints.NewTable(now, c.MaxRecords),
+		own:            endpoints.Record{ID: c.ID, Incarnation: c.Incarnation, Zone: c.Zone},
+		unsent:         make(map[string]LinkID),
+		formerChildren: make(map[string]formerChild),
+		knownCrashes:   make(map[crashKey]bool),
 	}
 }
 
@@ -64,22 +64,22 @@
 	if p.config.Member {
 		return
 	}
-	own := p.spread.own
+	own := p.propagation.own
 	r.ID, r.Incarnation, r.Zone, r.Parent = own.ID, own.Incarnation, own.Zone, own.Parent
 	r.Sequence = max(own.Sequence+1, r.Sequence)
 	p.publishOwn(r)
 }
 
 func (p *Peer) publishOwn(r endpoints.Record) {
-	p.spread.own = r
+	p.propagation.own = r
 	p.merge([]endpoints.Record{r}, 0)
 }
 
 // merge adds records to the table and marks the changed ones to be passed on.
 func (p *Peer) merge(records []endpoints.Record, from LinkID) []endpoints.Record {
-	changed := p.spread.table.Merge(records)
+	changed := p.propagation.table.Merge(records)
 	for _, r := range changed {
-		p.spread.dirty[r.ID] = from
+		p.propagation.unsent[r.ID] = from
 	}
 	return changed
 }
@@ -87,11 +87,11 @@
 // announceParent publishes that this node follows another parent, so that the former one does not suspect it. The
 // parent gets the record before the first poll, so that a table that is equal otherwise needs no comparison.
 func (p *Peer) announceParent(l *link) {
-	own := p.spread.own
+	own := p.propagation.own
 	own.Parent = l.remote.ID
 	own.Sequence++
 	p.publishOwn(own)
-	p.spread.dirty[own.ID] = l.id
+	p.propagation.unsent[own.ID] = l.id
 	p.send(l, Message{Endpoints: &Endpoints{Records: []endpoints.Record{own}}})
 }
 
@@ -106,7 +106,7 @@
 
 // refute answers a record about this node that the node did not publish.
 func (p *Peer) refute(r endpoints.Record) {
-	own := p.spread.own
+	own := p.propagation.own
 	if r.Incarnation > own.Incarnation {
 		p.stats.Superseded++
 	}
@@ -120,9 +120,9 @@
 
 func (p *Peer) receiveRecords(l *link, e Endpoints) {
 	records := e.Records
-	if len(e.Packed) > 0 {
+	if len(e.Compressed) > 0 {
 		var packed []endpoints.Record
-		if err := unpack(e.Packed, &packed); err != nil {
+		if err := unpack(e.Compressed, &packed); err != nil {
 			p.stats.CorruptMessages++
 			return
 		}
@@ -133,26 +133,26 @@
 			p.refute(r)
 		}
 	}
-	p.answerLate(l, records)
+	p.sendTombstones(l, records)
 	if len(e.Buckets) > 0 {
-		p.answerBuckets(l, records, e.Buckets)
+		p.sendNewerRecords(l, records, e.Buckets)
 	}
 }
 
-// answerLate returns the last version of records that were dropped here, so that the sender drops them too, or their
+// sendTombstones returns the last version of records that were dropped here, so that the sender drops them too, or their
 // node refutes it.
-func (p *Peer) answerLate(l *link, records []endpoints.Record) {
+func (p *Peer) sendTombstones(l *link, records []endpoints.Record) {
 	var late []endpoints.Record
 	for _, r := range records {
-		if stone, ok := p.spread.table.Tombstone(r.ID); ok && r.Compare(stone) < 0 {
+		if stone, ok := p.propagation.table.Tombstone(r.ID); ok && r.Compare(stone) < 0 {
 			late = append(late, stone)
 		}
 	}
 	p.sendRecords(l, late, nil)
 }
 
-// answerBuckets returns the records of the compared buckets that the sender lacks or has older.
-func (p *Peer) answerBuckets(l *link, received []endpoints.Record, buckets []uint8) {
+// sendNewerRecords returns the records of the compared buckets that the sender lacks or has older.
+func (p *Peer) sendNewerRecords(l *link, received []endpoints.Record, buckets []uint8) {
 	theirs := make(map[string]endpoints.Record, len(received))
 	for _, r := range received {
 		theirs[r.ID] = r
@@ -162,7 +162,7 @@
 		marked[b] = true
 	}
 	var newer []endpoints.Record
-	for _, r := range p.spread.table.InBuckets(&marked) {
+	for _, r := range p.propagation.table.InBuckets(&marked) {
 		if other, ok := theirs[r.ID]; !ok || r.Compare(other) > 0 {
 			newer = append(newer, r)
 		}
@@ -175,9 +175,9 @@
 	if len(records) == 0 && len(buckets) == 0 {
 		return
 	}
-	for len(records) > chunkRecords {
-		p.sendChunk(l, records[:chunkRecords], nil)
-		records = records[chunkRecords:]
+	for len(records) > maxRecordsPerMessage {
+		p.sendChunk(l, records[:maxRecordsPerMessage], nil)
+		records = records[maxRecordsPerMessage:]
 		buckets = nil
 	}
 	p.sendChunk(l, records, buckets)
@@ -185,9 +185,9 @@
 
 func (p *Peer) sendChunk(l *link, records []endpoints.Record, buckets []uint8) {
 	message := &Endpoints{Records: records, Buckets: buckets}
-	if len(records) >= packFrom {
+	if len(records) >= minCompressedRecords {
 		if packed, err := pack(records); err == nil {
-			message.Records, message.Packed = nil, packed
+			message.Records, message.Compressed = nil, packed
 		}
 	}
 	p.send(l, Message{Endpoints: message})
@@ -196,30 +196,30 @@
 // flushRecords passes changed records on: up, down and across members, but not back to where they came from. The
 // members are linked with each other, so a record from one member is not passed to another.
 func (p *Peer) flushRecords() {
-	s := &p.spread
-	if len(s.dirty) == 0 {
+	s := &p.propagation
+	if len(s.unsent) == 0 {
 		return
 	}
-	ids := slices.Sorted(maps.Keys(s.dirty))
+	ids := slices.Sorted(maps.Keys(s.unsent))
 	for _, l := range p.linksOf(roleParent, roleChild, roleMember) {
 		if l.synced || l.outbound {
-			p.sendRecords(l, p.dirtyFor(l, ids), nil)
+			p.sendRecords(l, p.unsentFor(l, ids), nil)
 		}
 	}
-	clear(s.dirty)
+	clear(s.unsent)
 	p.emit(EndpointsChanged{IDs: ids})
 }
 
-func (p *Peer) dirtyFor(l *link, ids []string) []endpoints.Record {
+func (p *Peer) unsentFor(l *link, ids []string) []endpoints.Record {
 	var records []endpoints.Record
 	for _, id := range ids {
-		from := p.spread.dirty[id]
+		from := p.propagation.unsent[id]
 		source, ok := p.links[from]
 		fromMember := ok && source.role == roleMember
 		if from == l.id || fromMember && l.role == roleMember {
 			continue
 		}
-		if r, ok := p.spread.table.Get(id); ok {
+		if r, ok := p.propagation.table.Get(id); ok {
 			records = append(records, r)
 		}
 	}
@@ -232,11 +232,11 @@
 		p.offer(l)
 	}
 	p.sendCrashes(l)
-	if digest == p.spread.table.Digest() {
+	if digest == p.propagation.table.Digest() {
 		return
 	}
-	if l.role == roleChild && l.records <= 1 {
-		p.sendRecords(l, p.spread.table.All(), nil)
+	if l.role == roleChild && l.joinRecords <= 1 {
+		p.sendRecords(l, p.propagation.table.All(), nil)
 		return
 	}
 	p.startComparison(l)
@@ -245,22 +245,22 @@
 // compareDigest starts a comparison after several polls in a row with an unequal digest. Single mismatches are normal
 // while changes are in flight.
 func (p *Peer) compareDigest(l *link, digest uint64) {
-	if digest == p.spread.table.Digest() {
-		l.mismatches = 0
+	if digest == p.propagation.table.Digest() {
+		l.digestMismatches = 0
 		return
 	}
-	l.mismatches++
-	if l.mismatches >= compareAfter && p.now.Sub(l.comparedAt) >= comparePause {
+	l.digestMismatches++
+	if l.digestMismatches >= mismatchesBeforeCompare && p.now.Sub(l.comparedAt) >= minCompareInterval {
 		p.startComparison(l)
 	}
 }
 
 func (p *Peer) startComparison(l *link) {
-	l.mismatches = 0
+	l.digestMismatches = 0
 	l.comparedAt = p.now
 	p.stats.Comparisons++
-	table := p.spread.table
-	if table.Len() <= smallTable {
+	table := p.propagation.table
+	if table.Len() <= maxUnbucketedRecords {
 		p.sendRecords(l, table.All(), allBuckets())
 		return
 	}
@@ -269,7 +269,7 @@
 	for _, sum := range sums {
 		data = binary.LittleEndian.AppendUint64(data, sum)
 	}
-	p.send(l, Message{Compare: &Compare{Sums: data}})
+	p.send(l, Message{Compare: &Compare{BucketDigests: data}})
 }
 
 func allBuckets() []uint8 {
@@ -280,17 +280,17 @@
 	return buckets
 }
 
-// answerCompare sends the content of the buckets that differ.
-func (p *Peer) answerCompare(l *link, c Compare) {
-	if len(c.Sums) != 8*endpoints.BucketCount {
+// handleCompare sends the content of the buckets that differ.
+func (p *Peer) handleCompare(l *link, c Compare) {
+	if len(c.BucketDigests) != 8*endpoints.BucketCount {
 		p.stats.CorruptMessages++
 		return
 	}
 	sums := make([]uint64, endpoints.BucketCount)
 	for i := range sums {
-		sums[i] = binary.LittleEndian.Uint64(c.Sums[8*i:])
+		sums[i] = binary.LittleEndian.Uint64(c.BucketDigests[8*i:])
 	}
-	marked, _ := p.spread.table.DifferingBuckets(sums)
+	marked, _ := p.propagation.table.DifferingBuckets(sums)
 	var buckets []uint8
 	for i, differs := range marked {
 		if differs {
@@ -298,24 +298,24 @@
 		}
 	}
 	if len(buckets) > 0 {
-		p.sendRecords(l, p.spread.table.InBuckets(&marked), buckets)
+		p.sendRecords(l, p.propagation.table.InBuckets(&marked), buckets)
 	}
 }
 
-// watch remembers a child whose link has ended.
-func (p *Peer) watch(l *link) {
-	p.spread.watched[l.remote.ID] = watch{incarnation: l.remote.Incarnation, heard: l.heard}
+// addFormerChild remembers a child whose link has ended.
+func (p *Peer) addFormerChild(l *link) {
+	p.propagation.formerChildren[l.remote.ID] = formerChild{incarnation: l.remote.Incarnation, lastReceived: l.lastReceived}
 }
 
-// suspectSilent publishes former children that have been silent for too long and have not announced another parent.
-func (p *Peer) suspectSilent() {
-	s := &p.spread
-	for _, id := range slices.Sorted(maps.Keys(s.watched)) {
-		w := s.watched[id]
-		if p.now.Sub(w.heard) < endpoints.SuspectAfter {
+// suspectFormerChildren publishes former children that have been silent for too long and have not announced another parent.
+func (p *Peer) suspectFormerChildren() {
+	s := &p.propagation
+	for _, id := range slices.Sorted(maps.Keys(s.formerChildren)) {
+		w := s.formerChildren[id]
+		if p.now.Sub(w.lastReceived) < endpoints.SuspectAfter {
 			continue
 		}
-		delete(s.watched, id)
+		delete(s.formerChildren, id)
 		r, ok := s.table.Get(id)
 		if ok && r.Incarnation == w.incarnation && r.Parent == p.config.ID {
 			p.suspect(id)
@@ -324,71 +324,71 @@
 }
 
 func (p *Peer) suspect(id string) {
-	if suspicion, ok := p.spread.table.SuspectRecord(id); ok {
+	if suspicion, ok := p.propagation.table.SuspectRecord(id); ok {
 		p.stats.Suspected++
 		p.merge([]endpoints.Record{suspicion}, 0)
 	}
 }
 
-// PublishCrash spreads crash reports of the upstream beside this node.
-func (p *Peer) PublishCrash(now time.Time, reports []CrashReport) {
+// PublishCrashes spreads crash reports of the upstream beside this node.
+func (p *Peer) PublishCrashes(now time.Time, reports []CrashReport) {
 	p.advance(now)
-	p.passCrashes(p.newCrashes(reports), nil)
+	p.forwardCrashes(p.addCrashes(reports), nil)
 }
 
 func (p *Peer) receiveCrashes(l *link, reports []CrashReport) {
-	fresh := p.newCrashes(reports)
+	fresh := p.addCrashes(reports)
 	if len(fresh) == 0 {
 		return
 	}
 	p.emit(CrashesReceived{Reports: fresh})
-	p.passCrashes(fresh, l)
+	p.forwardCrashes(fresh, l)
 }
 
-// newCrashes keeps the reports that are not known and returns them.
-func (p *Peer) newCrashes(reports []CrashReport) []CrashReport {
-	s := &p.spread
+// addCrashes keeps the reports that are not known and returns them.
+func (p *Peer) addCrashes(reports []CrashReport) []CrashReport {
+	s := &p.propagation
 	p.expireCrashes()
 	var fresh []CrashReport
 	for _, r := range reports {
-		key := keyOf(r)
-		if s.seen[key] || r.AgeMs < 0 || r.AgeMs >= crashLifetime.Milliseconds() {
+		key := crashKeyOf(r)
+		if s.knownCrashes[key] || r.AgeMs < 0 || r.AgeMs >= crashLifetime.Milliseconds() {
 			continue
 		}
 		if len(s.crashes) >= maxCrashReports {
 			p.dropOldestCrash()
 		}
-		s.seen[key] = true
-		s.crashes = append(s.crashes, crash{report: r, at: p.now})
+		s.knownCrashes[key] = true
+		s.crashes = append(s.crashes, receivedCrash{report: r, receivedAt: p.now})
 		fresh = append(fresh, r)
 	}
 	return fresh
 }
 
-func keyOf(r CrashReport) crashKey {
+func crashKeyOf(r CrashReport) crashKey {
 	return crashKey{upstream: r.Upstream, incarnation: r.Incarnation, sequence: r.Sequence}
 }
 
 func (p *Peer) dropOldestCrash() {
-	s := &p.spread
-	delete(s.seen, keyOf(s.crashes[0].report))
+	s := &p.propagation
+	delete(s.knownCrashes, crashKeyOf(s.crashes[0].report))
 	s.crashes = s.crashes[1:]
 }
 
 func (p *Peer) expireCrashes() {
-	s := &p.spread
-	for len(s.crashes) > 0 && p.now.Sub(s.crashes[0].at) >= crashLifetime {
+	s := &p.propagation
+	for len(s.crashes) > 0 && p.now.Sub(s.crashes[0].receivedAt) >= crashLifetime {
 		p.dropOldestCrash()
 	}
 }
 
-func (p *Peer) passCrashes(reports []CrashReport, from *link) {
+func (p *Peer) forwardCrashes(reports []CrashReport, from *link) {
 	if len(reports) == 0 {
 		return
 	}
 	for _, l := range p.linksOf(roleParent, roleChild, roleMember) {
-		back := l == from || from != nil && from.role == roleMember && l.role == roleMember
-		if !back && (l.synced || l.outbound) {
+		alreadyKnown := l == from || from != nil && from.role == roleMember && l.role == roleMember
+		if !alreadyKnown && (l.synced || l.outbound) {
 			p.send(l, Message{Crashes: &Crashes{Reports: reports}})
 		}
 	}
@@ -398,9 +398,9 @@
 func (p *Peer) sendCrashes(l *link) {
 	p.expireCrashes()
 	var reports []CrashReport
-	for _, c := range p.spread.crashes {
+	for _, c := range p.propagation.crashes {
 		r := c.report
-		r.AgeMs += p.now.Sub(c.at).Milliseconds()
+		r.AgeMs += p.now.Sub(c.receivedAt).Milliseconds()
 		if r.AgeMs < crashLifetime.Milliseconds() {
 			reports = append(reports, r)
 		}
--- a/coordination/relay/dangling_internal_test.go
+++ b/coordination/relay/references_internal_test.go
@@ -16,9 +16,9 @@
 	}
 
 	// Guards against nodes that refuse a version because one of its routes is split over several services.
-	It("accepts a split route", func() { Expect(danglingRoute(split("desk-next"))).To(Succeed()) })
+	It("accepts a split route", func() { Expect(checkReferences(split("desk-next"))).To(Succeed()) })
 
 	It("finds a part of a split that the bundle does not hold", func() {
-		Expect(danglingRoute(split("gone"))).To(MatchError(ErrDangling))
+		Expect(checkReferences(split("gone"))).To(MatchError(ErrDangling))
 	})
 })
--- a/coordination/relay/scenario_test.go
+++ b/coordination/relay/scenario_test.go
@@ -31,8 +31,8 @@
 // cut off.
 func quickTimes(c *relay.Config) {
 	c.PollInterval, c.StaleAfter = 400*time.Millisecond, 1200*time.Millisecond
-	c.HomeProbe = 2 * time.Second
-	c.JoinSpread, c.ProbeMax, c.MembersFirst = 200*time.Millisecond, 600*time.Millisecond, true
+	c.HomeProbeInterval = 2 * time.Second
+	c.JoinJitter, c.MaxProbeInterval, c.PreferMembers = 200*time.Millisecond, 600*time.Millisecond, true
 	c.ZoneFollowers, c.RemoteFollowers = 32, 32
 }
 
@@ -366,7 +366,7 @@
 		s.dup = 0.2
 		source := s.hosts["n2-007"]
 		report := relay.CrashReport{Upstream: source.id, Incarnation: 7, Sequence: 1, Payload: []byte("report")}
-		source.peer.PublishCrash(s.local(source), []relay.CrashReport{report})
+		source.peer.PublishCrashes(s.local(source), []relay.CrashReport{report})
 		s.run(s.now + 2*time.Second)
 		late := s.add("late", "z0", false, "m0")
 		s.start(late)
--- a/coordination/relay/sim_test.go
+++ b/coordination/relay/sim_test.go
@@ -202,7 +202,7 @@
 	h.clock = s.epoch.Add(time.Duration(s.rng.Intn(1000)) * time.Hour)
 	h.links, h.inbound, h.store = make(map[relay.LinkID]*conn), 0, bundle.NewStore()
 	c := relay.Config{
-		ID: h.id, Zone: h.zone, Address: h.id, Incarnation: uint64(s.now) + 1, Member: h.member, Join: h.join,
+		ID: h.id, Zone: h.zone, Address: h.id, Incarnation: uint64(s.now) + 1, Member: h.member, JoinAddresses: h.join,
 		Keys: keys{}, Rand: rand.New(rand.NewSource(s.rng.Int63())),
 	}
 	h.config(&c)
@@ -239,7 +239,7 @@
 			Expect(h.store.Add(update)).To(Succeed())
 			held = append(held, update.Target)
 		}
-		source := relay.Source{Held: held}
+		source := relay.Source{Bundles: held}
 		if n := len(s.history); n > 0 {
 			source.Latest, source.Stopped = &s.history[n-1].Approval, s.history[n-1].Stopped
 		}
--- a/coordination/relay/zones.go
+++ b/coordination/relay/zones.go
@@ -24,7 +24,7 @@
 	p.addOwnZones(sum)
 	for _, member := range p.linksOf(roleMember) {
 		for _, zone := range member.counts.Zones {
-			zone.Age = p.now.Sub(member.heard)
+			zone.Age = p.now.Sub(member.lastReceived)
 			addZone(sum, zone)
 		}
 	}
@@ -40,7 +40,7 @@
 
 func (p *Peer) addOwnZones(sum map[string]ZoneCounts) {
 	for _, child := range p.children() {
-		addZone(sum, ZoneCounts{Zone: child.remote.Zone, Counts: child.counts, Age: p.now.Sub(child.heard)})
+		addZone(sum, ZoneCounts{Zone: child.remote.Zone, Counts: child.counts, Age: p.now.Sub(child.lastReceived)})
 	}
 }
 
--- a/node/control.go
+++ b/node/control.go
@@ -205,7 +205,7 @@
 		n.logger.Error().Err(err).Msg("cannot encode a crash report")
 		return
 	}
-	n.control.Post(func(now time.Time) { n.peer.PublishCrash(now, []relay.CrashReport{encoded}) })
+	n.control.Post(func(now time.Time) { n.peer.PublishCrashes(now, []relay.CrashReport{encoded}) })
 }
 
 func (n *Node) observeReports(now time.Time, reports []relay.CrashReport) {
--- a/node/node.go
+++ b/node/node.go
@@ -220,7 +220,7 @@
 	config.Zone = n.options.Zone
 	config.Address = n.options.Advertise
 	config.Incarnation = n.incarnation
-	config.Join = append(append([]string{}, n.options.Members...), n.options.Join...)
+	config.JoinAddresses = append(append([]string{}, n.options.Members...), n.options.Join...)
 	config.Keys = n.options.Keys
 	config.Validate = func(b *bundle.Bundle) error { return bundle.Validate(b).Err() }
 	config.Rand = rand.New(rand.NewSource(int64(n.incarnation)))
@@ -304,7 +304,7 @@
 
 // SetJoin replaces the addresses by which the node finds the group.
 func (n *Node) SetJoin(addresses []string) {
-	n.control.Post(func(time.Time) { n.peer.SetJoin(addresses) })
+	n.control.Post(func(time.Time) { n.peer.SetJoinAddresses(addresses) })
 }
 
 // Follow serves the children of this node in the distribution tree.
