--- a/control/member.go
+++ b/control/member.go
@@ -318,7 +318,7 @@
 // publishSource passes the registry's state to the distribution tree.
 func (m *Member) publishSource(now time.Time) {
 	state := m.registry.registry.State()
-	source := relay.Source{Latest: state.Latest, Stopped: state.Stopped, Held: state.StoredBundles}
+	source := relay.Source{Latest: state.Latest, Stopped: state.Stopped, Bundles: state.StoredBundles}
 	m.peer.SetSource(now, source, m.registry.registry.Store())
 }
 
--- a/node/control.go
+++ b/node/control.go
@@ -207,7 +207,7 @@
 		n.logger.Error().Err(err).Msg("cannot encode a crash report")
 		return
 	}
-	n.control.Post(func(now time.Time) { n.peer.PublishCrash(now, []relay.CrashReport{encoded}) })
+	n.control.Post(func(now time.Time) { n.peer.PublishCrashes(now, []relay.CrashReport{encoded}) })
 }
 
 func (n *Node) observeCrashReports(now time.Time, reports []relay.CrashReport) {
