--- a/node/admin.go
+++ b/node/admin.go
@@ -98,19 +98,20 @@
 
 // Dump is the state of a node for diagnosis, as PathDump returns it.
 type Dump struct {
-	ID          string                   `json:"id"`
-	Zone        string                   `json:"zone"`
-	Incarnation uint64                   `json:"incarnation"`
-	Version     uint64                   `json:"version"`
-	Digest      string                   `json:"digest,omitempty"`
-	InForceMs   int64                    `json:"in_force_ms,omitempty"`
-	Routes      int                      `json:"routes"`
-	Relay       relay.Status             `json:"relay"`
-	Endpoints   []endpoints.Record       `json:"endpoints"`
-	Upstream    UpstreamDump             `json:"upstream"`
-	Quarantine  []quarantine.Entry       `json:"quarantine,omitempty"`
-	Added       addedQuantiles           `json:"added_latency"`
-	Violations  map[invariant.Name]int64 `json:"violations"`
+	ID          string `json:"id"`
+	Zone        string `json:"zone"`
+	Incarnation uint64 `json:"incarnation"`
+	Version     uint64 `json:"version"`
+	Digest      string `json:"digest,omitempty"`
+	// InForceMs is the time in milliseconds for which the version has been in force.
+	InForceMs  int64                    `json:"in_force_ms,omitempty"`
+	Routes     int                      `json:"routes"`
+	Relay      relay.Status             `json:"relay"`
+	Endpoints  []endpoints.Record       `json:"endpoints"`
+	Upstream   UpstreamDump             `json:"upstream"`
+	Quarantine []quarantine.Entry       `json:"quarantine,omitempty"`
+	Added      addedQuantiles           `json:"added_latency"`
+	Violations map[invariant.Name]int64 `json:"violations"`
 }
 
 // UpstreamDump is the state of the upstream beside a node.
--- a/node/executor.go
+++ b/node/executor.go
@@ -38,6 +38,7 @@
 	ctx        context.Context
 	stop       context.CancelFunc
 
+	// mu guards the fields below.
 	mu       sync.Mutex
 	upstream *upstream
 	state    upstreamState
--- a/node/ingress.go
+++ b/node/ingress.go
@@ -48,7 +48,8 @@
 	// limitedBody reads the part of the body that is streamed; nil if the whole body is buffered.
 	limitedBody *maxBytesReader
 	deadline    time.Time
-	exclusive   bool
+	// exclusive is set if the quarantine requires that the call runs with no other call in flight on its upstream.
+	exclusive bool
 	// tried lists the IDs of the instances to which the call was sent, in order.
 	tried []string
 	// externalTime is the part of the last attempt that was not spent in sapphiregate's processes: the upstream's
--- a/node/request_tracker.go
+++ b/node/request_tracker.go
@@ -15,7 +15,8 @@
 	mu       sync.Mutex
 	closed   bool
 	inFlight int
-	idle     chan struct{}
+	// idle is closed when the last request in flight ends after drain was called.
+	idle chan struct{}
 }
 
 // admit counts a request, or returns why it is refused. The caller must call done at the end of an admitted request.
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -22,7 +22,8 @@
 	// maxBodyBytes bounds request bodies on routes that set no limit; 0 means that Limits.MaxBodyBytes applies.
 	maxBodyBytes int64
 	policies     map[string]*routePolicy
-	since        time.Time
+	// since is the time at which this node put the version into force.
+	since time.Time
 }
 
 // maxSplitOffset bounds the random position at which a process starts in the sequence of a split route, so that the
--- a/node/upstream.go
+++ b/node/upstream.go
@@ -24,12 +24,16 @@
 
 // Announcement describes an upstream to the node beside it, by PUT to PathUpstream.
 type Announcement struct {
-	Service     string `json:"service"`
-	Address     string `json:"address"`
-	Slots       int    `json:"slots"`
-	Connections int    `json:"connections,omitempty"`
-	HealthPath  string `json:"health_path,omitempty"`
-	LoadPath    string `json:"load_path,omitempty"`
+	Service string `json:"service"`
+	// Address is the IP address and port at which the upstream serves HTTP.
+	Address string `json:"address"`
+	// Slots is the number of calls that the upstream runs at once.
+	Slots int `json:"slots"`
+	// Connections bounds the connections to the upstream; 0 means 100.
+	Connections int `json:"connections,omitempty"`
+	// HealthPath and LoadPath are the paths of the upstream's health check and load report; empty if it has none.
+	HealthPath string `json:"health_path,omitempty"`
+	LoadPath   string `json:"load_path,omitempty"`
 	// ID identifies the upstream process, for upstreams that refuse requests meant for another one.
 	ID string `json:"id,omitempty"`
 	// Incarnation is the start time of the upstream in Unix milliseconds; the announcement with the later start counts.
