--- a/control/automembership.go
+++ b/control/automembership.go
@@ -24,8 +24,8 @@
 	maxLeaderConfirmationAge = time.Second
 )
 
-// ErrRemoved means that the group has replaced this member, which has discarded its state. It joins under a new identity
-// when it is started again.
+// ErrRemoved means that the group has replaced this member, which has discarded its state. It joins under a new
+// identity when it is started again.
 var ErrRemoved = errors.New("control: the group has replaced this member")
 
 // proposeMembershipChange proposes the next membership change that brings the group back to Options.Voters working
@@ -49,8 +49,8 @@
 		Str("address", change.Member.Address).Msg("membership change proposed")
 }
 
-// describeGroup fills in what this member knows of the group, for a process that asks to join, and registers the process
-// as a candidate unless it is a member.
+// describeGroup fills in what this member knows of the group, for a process that asks to join, and registers the
+// process as a candidate unless it is a member.
 func (m *Member) describeGroup(ctx context.Context, request *protocol.IdentifyRequest, reply *protocol.IdentifyReply) {
 	select {
 	case <-m.ready:
--- a/control/automembership_test.go
+++ b/control/automembership_test.go
@@ -94,8 +94,8 @@
 	}, eventuallyTimeout).Should(Succeed())
 }
 
-// isRepaired reports whether all members have the version, confirmed by a quorum, and the voters are exactly the present
-// processes.
+// isRepaired reports whether all members have the version, confirmed by a quorum, and the voters are exactly the
+// present processes.
 func (g *selfManagedGroup) isRepaired(version uint64) func() bool {
 	return func() bool {
 		var ids []string
--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -26,10 +26,10 @@
 const (
 	identifyTimeout     = time.Second
 	bootstrapRetryDelay = 200 * time.Millisecond
-	// foundingIndex and foundingTerm are those of the first snapshot, which holds only the first membership and is the
-	// same on all founders.
-	foundingIndex = 1
-	foundingTerm  = 1
+	// initialSnapshotIndex and initialSnapshotTerm are those of the first snapshot, which holds only the initial
+	// membership and is the same on all founders.
+	initialSnapshotIndex = 1
+	initialSnapshotTerm  = 1
 )
 
 // hasGroupState reports whether a recovered folder holds state of a group, rather than only a new identity.
@@ -37,17 +37,17 @@
 	return recovered.Snapshot.Index > 0 || len(recovered.Entries) > 0
 }
 
-// isFoundingSnapshot reports whether a snapshot holds only a group's first membership.
-func isFoundingSnapshot(snapshot raft.Snapshot) bool {
-	return snapshot.Index == foundingIndex && snapshot.Term == foundingTerm
+// isInitialSnapshot reports whether a snapshot holds only a group's initial membership.
+func isInitialSnapshot(snapshot raft.Snapshot) bool {
+	return snapshot.Index == initialSnapshotIndex && snapshot.Term == initialSnapshotTerm
 }
 
-// formGroup asks the other founders for their identities and saves the first membership of the group as its first
+// formGroup asks the other founders for their identities and saves the initial membership of the group as its first
 // snapshot. It repeats this until all founders have answered or one says that the group exists.
 //
-// If the group exists and its first membership lists this replica, the replica adopts that membership: its folder is
-// empty, so nothing can be lost, and the founders that formed the group earlier may need its vote. If the membership does
-// not list this replica, its old folder was wiped; it starts empty and must be added. A wiped member can therefore
+// If the group exists and its initial membership lists this replica, the replica adopts that membership: its folder is
+// empty, so nothing can be lost, and the founders that formed the group earlier may need its vote. If the membership
+// does not list this replica, its old folder was wiped; it starts empty and must be added. A wiped member can therefore
 // neither vote under its old identity nor form a second group.
 func (m *Member) formGroup(r *replica, recovered *wal.Recovered) error {
 	for {
@@ -58,11 +58,11 @@
 			r.logger.Info().Str("member", string(r.id)).Msg("the group exists; waiting for its leader")
 			return nil
 		case exists, complete:
-			recovered.Snapshot = raft.Snapshot{Index: foundingIndex, Term: foundingTerm, Membership: membership}
+			recovered.Snapshot = raft.Snapshot{Index: initialSnapshotIndex, Term: initialSnapshotTerm, Membership: membership}
 			if err := r.log.SaveSnapshot(recovered.Snapshot); err != nil {
 				return errors.Wrapf(ErrStorage, "%v", err)
 			}
-			m.markFounded(r.group, membership)
+			m.setInitialMembership(r.group, membership)
 			return nil
 		}
 		sleep(m.ctx, bootstrapRetryDelay)
@@ -72,9 +72,9 @@
 	}
 }
 
-// identifyFounders asks all founders for their identities and returns the first membership; complete reports whether all
-// have answered. If a founder says that the group exists, it returns the first membership that this founder reports,
-// which is empty if the founder no longer has it.
+// identifyFounders asks all founders for their identities and returns the initial membership; complete reports whether
+// all have answered. If a founder says that the group exists, it returns the initial membership that this founder
+// reports, which is empty if the founder no longer has it.
 func (m *Member) identifyFounders(
 	ctx context.Context, r *replica,
 ) (membership raft.Membership, complete, exists bool) {
@@ -125,8 +125,8 @@
 	defer m.formedMu.Unlock()
 	for _, r := range m.replicas {
 		identity := protocol.GroupIdentity{ID: string(r.id), Formed: m.formedGroups[r.group]}
-		if founding, ok := m.founding[r.group]; ok {
-			identity.Founding = &founding
+		if initial, ok := m.initialMemberships[r.group]; ok {
+			identity.Founding = &initial
 		}
 		reply.Groups = append(reply.Groups, identity)
 	}
@@ -139,12 +139,12 @@
 	m.formedGroups[group] = true
 }
 
-// markFounded records that a group is formed, and its first membership.
-func (m *Member) markFounded(group uint32, membership raft.Membership) {
+// setInitialMembership records that a group is formed, and its initial membership.
+func (m *Member) setInitialMembership(group uint32, membership raft.Membership) {
 	m.formedMu.Lock()
 	defer m.formedMu.Unlock()
 	m.formedGroups[group] = true
-	m.founding[group] = membership
+	m.initialMemberships[group] = membership
 }
 
 func (m *Member) isFormed(group uint32) bool {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -111,10 +111,10 @@
 		}
 
 		// Kills all members at once: state that was acknowledged but never synced would be lost.
-		answer, err := g.client(followers[0], maxClientRounds).Members(context.Background())
+		response, err := g.client(followers[0], maxClientRounds).Members(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		var addresses []string
-		for _, member := range answer.Members {
+		for _, member := range response.Members {
 			addresses = append(addresses, member.Address)
 		}
 		pool := rpc.NewPool(nil, nil)
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -171,8 +171,8 @@
 }
 
 func (g *group) dump(id string) (dump control.Dump) {
-	answer, err := g.client(id, 1).Dump(context.Background())
-	if err != nil || json.Unmarshal(answer.State, &dump) != nil {
+	response, err := g.client(id, 1).Dump(context.Background())
+	if err != nil || json.Unmarshal(response.State, &dump) != nil {
 		return control.Dump{ConfirmedAgeMs: operator.AgeUnknown}
 	}
 	return dump
--- a/control/member.go
+++ b/control/member.go
@@ -109,9 +109,9 @@
 	// formedMu guards formedGroups and founding.
 	formedMu     sync.Mutex
 	formedGroups map[uint32]bool
-	// founding holds the first membership of each group that this process has formed, or whose newest snapshot was still
-	// the first one when the process started.
-	founding map[uint32]raft.Membership
+	// initialMemberships holds the initial membership of each group that this process has formed, or whose newest snapshot
+	// was still the first one when the process started.
+	initialMemberships map[uint32]raft.Membership
 
 	// replicas is indexed by group. Only the control goroutine uses the content of the replicas.
 	replicas []*replica
@@ -137,7 +137,7 @@
 	}
 	m := &Member{
 		options: options, logger: logging.Part(options.Logger, "control"), ready: make(chan struct{}),
-		formedGroups: make(map[uint32]bool), founding: make(map[uint32]raft.Membership), removed: make(chan struct{}),
+		formedGroups: make(map[uint32]bool), initialMemberships: make(map[uint32]raft.Membership), removed: make(chan struct{}),
 	}
 	m.metrics = newMetrics(m)
 	m.ctx, m.cancel = context.WithCancel(context.Background())
@@ -184,8 +184,8 @@
 			return nil, err
 		}
 		switch {
-		case isFoundingSnapshot(recovered.Snapshot):
-			m.markFounded(r.group, recovered.Snapshot.Membership)
+		case isInitialSnapshot(recovered.Snapshot):
+			m.setInitialMembership(r.group, recovered.Snapshot.Membership)
 		case hasGroupState(recovered):
 			m.markFormed(r.group)
 		}
@@ -373,8 +373,8 @@
 	}
 }
 
-// Propose proposes a command and returns its result once it is applied. Refusals and unknown outcomes are statuses of the
-// reply; the error is always nil.
+// Propose proposes a command and returns its result once it is applied. Refusals and unknown outcomes are statuses of
+// the reply; the error is always nil.
 func (m *Member) Propose(ctx context.Context, request *protocol.ProposeRequest) (*protocol.ProposeReply, error) {
 	if err := m.waitRunning(ctx); err != nil {
 		return &protocol.ProposeReply{Status: protocol.ProposeNotLeader, Detail: err.Error()}, nil
@@ -420,8 +420,8 @@
 // ID returns the identity of the member, which is that of its registry folder.
 func (m *Member) ID() string { return string(m.replicas[registryGroup].id) }
 
-// Leads returns the term of the registry's log and whether this member acts as its leader. A leader that was cut off may
-// not know yet that there is a newer one.
+// Leads returns the term of the registry's log and whether this member acts as its leader. A leader that was cut off
+// may not know yet that there is a newer one.
 func (m *Member) Leads() (term uint64, leads bool) {
 	select {
 	case <-m.ready:
--- a/control/membership.go
+++ b/control/membership.go
@@ -95,8 +95,8 @@
 	return b.RemoveMember(ctx, operator.RemoveMemberRequest{RequestID: r.RequestID, ID: r.Old})
 }
 
-// addMember adds the member at an address as a learner to all groups, and then promotes it in all of them unless it is to
-// stay a learner.
+// addMember adds the member at an address as a learner to all groups, and then promotes it in all of them unless it is
+// to stay a learner.
 func (b operatorBackend) addMember(ctx context.Context, id, address, zone string, learner bool) error {
 	reply, err := b.member.identify(ctx, address)
 	if err != nil {
--- a/control/operatorapi.go
+++ b/control/operatorapi.go
@@ -23,8 +23,8 @@
 
 var _ operator.Backend = operatorBackend{}
 
-// Stage adds a bundle to the registry. To save traffic between zones, the request to the leader leaves out the parts that
-// this member's registry has already.
+// Stage adds a bundle to the registry. To save traffic between zones, the request to the leader leaves out the parts
+// that this member's registry has already.
 func (b operatorBackend) Stage(ctx context.Context, r operator.StageRequest) (operator.Decision, error) {
 	stage := registry.Stage{Version: r.Version, Digest: r.Digest, Operator: r.Operator, Update: r.Update}
 	return b.stage(ctx, registry.Command{RequestID: r.RequestID, Stage: &stage})
@@ -175,11 +175,11 @@
 	if limit <= 0 {
 		limit = operator.DefaultHistoryLimit
 	}
-	var answer operator.HistoryAnswer
+	var response operator.HistoryAnswer
 	err := b.query(ctx, func(time.Time) {
-		answer.Records = operator.NewestFirst(b.member.registry.registry.History(), limit)
+		response.Records = operator.NewestFirst(b.member.registry.registry.History(), limit)
 	})
-	return answer, err
+	return response, err
 }
 
 // Members lists the control members. A follower refers to the leader, if the leader responds.
@@ -196,7 +196,7 @@
 			}
 		}
 	}
-	answer := operator.MembersAnswer{Term: status.Term, Commit: status.Commit}
+	response := operator.MembersAnswer{Term: status.Term, Commit: status.Commit}
 	for _, member := range status.Membership.Members {
 		described := operator.Member{
 			ID: string(member.ID), Address: member.Address, Zone: member.Zone, Learner: member.Learner,
@@ -211,9 +211,9 @@
 		if member.ID == status.ID {
 			described.Match, described.LastContactMs, described.Admin = status.LastIndex, 0, b.member.options.AdvertiseAdmin
 		}
-		answer.Members = append(answer.Members, described)
+		response.Members = append(response.Members, described)
 	}
-	return answer, nil
+	return response, nil
 }
 
 var verdictNames = map[quarantine.Verdict]string{
@@ -226,14 +226,14 @@
 		return operator.QuarantineAnswer{}, &operator.Error{Kind: operator.ErrNoQuorum, Message: err.Error()}
 	}
 	now := time.Now()
-	answer := operator.QuarantineAnswer{Entries: []operator.QuarantineEntry{}}
+	response := operator.QuarantineAnswer{Entries: []operator.QuarantineEntry{}}
 	for _, entry := range b.member.quarantine.Entries(now) {
-		answer.Entries = append(answer.Entries, operator.QuarantineEntry{
+		response.Entries = append(response.Entries, operator.QuarantineEntry{
 			Fingerprint: hex.EncodeToString(entry.Fingerprint[:]), Verdict: verdictNames[entry.Verdict],
 			Crashes: len(entry.Upstreams), Upstreams: entry.Upstreams, ExpiresInMs: entry.Until.Sub(now).Milliseconds(),
 		})
 	}
-	return answer, nil
+	return response, nil
 }
 
 // ClearQuarantine lifts the quarantine of fingerprints, or of all.
--- a/control/rafttransport.go
+++ b/control/rafttransport.go
@@ -20,8 +20,8 @@
 	maxSenders = 64
 )
 
-// raftTransport sends the Raft messages of one group to the other members. Only the control goroutine calls its methods;
-// one goroutine for each member sends.
+// raftTransport sends the Raft messages of one group to the other members. Only the control goroutine calls its
+// methods; one goroutine for each member sends.
 type raftTransport struct {
 	group   uint32
 	self    raft.MemberID
@@ -95,8 +95,8 @@
 	}
 }
 
-// sendUntilBroken opens one stream and sends the queued messages until it breaks. The first frame carries the address of
-// this member, to which the receiver replies.
+// sendUntilBroken opens one stream and sends the queued messages until it breaks. The first frame carries the address
+// of this member, to which the receiver replies.
 func (t *raftTransport) sendUntilBroken(ctx context.Context, s *sender) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/control/replica.go
+++ b/control/replica.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// processReady passes the next batch of the log to writeLoop, so that the disk never blocks the control goroutine. While
-// a write runs, further proposals collect and share the next synced write.
+// processReady passes the next batch of the log to writeLoop, so that the disk never blocks the control goroutine.
+// While a write runs, further proposals collect and share the next synced write.
 func (r *replica) processReady(now time.Time) {
 	for !r.writeInFlight && !r.hasFailed && r.raft.HasReady() {
 		ready := r.raft.Ready()
@@ -213,8 +213,8 @@
 	}
 }
 
-// completeProposal sends the result of an applied entry to its proposer. If the entry has another term than the proposal
-// at its index, the proposed entry was replaced and the outcome is reported as uncertain.
+// completeProposal sends the result of an applied entry to its proposer. If the entry has another term than the
+// proposal at its index, the proposed entry was replaced and the outcome is reported as uncertain.
 func (r *replica) completeProposal(entry raft.Entry, result []byte) {
 	waiting, ok := r.proposals[entry.Index]
 	if !ok {
--- a/state/ledger/keys.go
+++ b/state/ledger/keys.go
@@ -24,8 +24,8 @@
 	return keyHash(sum[:len(keyHash{})])
 }
 
-// requestHash is the truncated SHA-256 of a request digest and a route. It is zero for a key whose release arrived before
-// its claim.
+// requestHash is the truncated SHA-256 of a request digest and a route. It is zero for a key whose release arrived
+// before its claim.
 type requestHash [16]byte
 
 func hashRequest(route string, digest [32]byte) requestHash {
--- a/state/ledger/ledger.go
+++ b/state/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger implements the replicated state machine that ensures that an irreversible call runs at most once. It is
-// deterministic: the same commands in the same order give the same state on every replica, and the time is part of the
-// commands.
+// Package ledger implements the replicated state machine that ensures that an irreversible call runs at most once. It
+// is deterministic: the same commands in the same order give the same state on every replica, and the time is part of
+// the commands.
 package ledger
 
 import (
@@ -20,8 +20,8 @@
 	Dropped bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Claim asks for the right to run a call. A claim that its holder sends again is granted again. Attempt must therefore be
-// unique within an incarnation of the executor, and a restarted executor must use a new incarnation.
+// Claim asks for the right to run a call. A claim that its holder sends again is granted again. Attempt must therefore
+// be unique within an incarnation of the executor, and a restarted executor must use a new incarnation.
 type Claim struct {
 	Key           string   `cbor:"1,keyasint"`
 	Route         string   `cbor:"2,keyasint"`
@@ -251,8 +251,8 @@
 	l.responses.expire(l.nowMs, l.config.MaxTotalResponseBytes)
 }
 
-// release ends the claim if the sender holds it. In any case, copies of the sender's claim that arrive later are void: if
-// one were granted, no attempt would run the call or release the claim.
+// release ends the claim if the sender holds it. In any case, copies of the sender's claim that arrive later are void:
+// if one were granted, no attempt would run the call or release the claim.
 func (l *Ledger) release(r Release) Result {
 	key, claimant := hashKey(r.Key), l.holder(r.Executor, r.Incarnation, r.Attempt)
 	e, known := l.lookupForUpdate(key, l.nowMs)
@@ -289,8 +289,8 @@
 	return l.result(e.status, q.Key, e)
 }
 
-// acceptsKeyTime reports whether a key with this time may be claimed. A key older than KeyRetention may have been dropped
-// after its call ran. A key as far in the future would have to be kept for twice KeyRetention or longer.
+// acceptsKeyTime reports whether a key with this time may be claimed. A key older than KeyRetention may have been
+// dropped after its call ran. A key as far in the future would have to be kept for twice KeyRetention or longer.
 func (l *Ledger) acceptsKeyTime(keyMs int64) bool {
 	age := l.nowMs - keyMs
 	retention := l.config.KeyRetention.Milliseconds()
--- a/state/ledger/responses.go
+++ b/state/ledger/responses.go
@@ -8,8 +8,8 @@
 	response  *Response
 }
 
-// responses holds the responses of calls. The queue is in the order in which they were recorded, which is also the order
-// in which they expire.
+// responses holds the responses of calls. The queue is in the order in which they were recorded, which is also the
+// order in which they expire.
 type responses struct {
 	byKey      map[keyHash]*Response
 	queue      []storedResponse
--- a/state/ledger/snapshot.go
+++ b/state/ledger/snapshot.go
@@ -14,8 +14,8 @@
 // snapshotFormat is the version of the snapshot encoding.
 const snapshotFormat = 1
 
-// snapshot is the content of a snapshot. Keys are in ascending order, executors in the order of their names, so that equal
-// states have equal encodings.
+// snapshot is the content of a snapshot. Keys are in ascending order, executors in the order of their names, so that
+// equal states have equal encodings.
 type snapshot struct {
 	Format    uint               `cbor:"1,keyasint"`
 	NowMs     int64              `cbor:"2,keyasint"`
@@ -95,8 +95,8 @@
 	return data, errors.Wrap(err, "ledger: encode snapshot")
 }
 
-// usedExecutors returns the sorted names of the executors that entries refer to, and maps their numbers in l.executors to
-// their positions in that list.
+// usedExecutors returns the sorted names of the executors that entries refer to, and maps their numbers in l.executors
+// to their positions in that list.
 func (l *Ledger) usedExecutors() ([]string, map[uint32]uint32) {
 	numbers := make(map[uint32]uint32)
 	for key, e := range l.entries {
--- a/state/registry/apply.go
+++ b/state/registry/apply.go
@@ -37,9 +37,9 @@
 	return result
 }
 
-// isFinal reports whether the result is kept for copies of the command that arrive later. A stage that lacks its base is
-// proposed again with another update, so its refusal is not kept. Results of commands that cannot be attributed to an
-// operator are not kept either, so that they cannot displace others.
+// isFinal reports whether the result is kept for copies of the command that arrive later. A stage that lacks its base
+// is proposed again with another update, so its refusal is not kept. Results of commands that cannot be attributed to
+// an operator are not kept either, so that they cannot displace others.
 func isFinal(c Command, code Code) bool {
 	if code == CodeUnauthorized || code == CodeMalformed {
 		return false
@@ -173,8 +173,8 @@
 	return Result{Effect: EffectApproved, Approval: r.latest.Approval, Index: index}
 }
 
-// checkApproval returns the result of an approval that is not authorized, that was decided before, or whose condition on
-// the version to be replaced is not met; done is false if the approval can go on.
+// checkApproval returns the result of an approval that is not authorized, that was decided before, or whose condition
+// on the version to be replaced is not met; done is false if the approval can go on.
 func (r *Registry) checkApproval(a bundle.Approval) (result Result, done bool) {
 	if err := r.keys.Verify(a); err != nil {
 		return refuse(CodeUnauthorized, "%v", err), true
@@ -276,8 +276,8 @@
 	return Result{Effect: EffectStopped, Approval: r.latest.Approval, Index: index}
 }
 
-// withdraw drops all bundles that are staged under a version. The version cannot be used again, so that an approval that
-// was sent before the stop and arrives later does not undo it.
+// withdraw drops all bundles that are staged under a version. The version cannot be used again, so that an approval
+// that was sent before the stop and arrives later does not undo it.
 func (r *Registry) withdraw(index uint64, s Stop) Result {
 	var digest bundle.Digest
 	found := false
--- a/state/registry/benchmark_test.go
+++ b/state/registry/benchmark_test.go
@@ -29,8 +29,9 @@
 	return b
 }
 
-// BenchmarkChange measures the change of one route at the design scale: the stage is shrunk and applied, then the approval
-// is applied. The approval is also measured alone, as it delays the moment at which the version comes into force.
+// BenchmarkChange measures the change of one route at the design scale: the stage is shrunk and applied, then the
+// approval is applied. The approval is also measured alone, as it delays the moment at which the version comes into
+// force.
 func BenchmarkChange(b *testing.B) {
 	RegisterTestingT(b)
 	r := registry.New(keyring("ana"))
@@ -55,8 +56,8 @@
 	b.ReportMetric(float64(approving.Nanoseconds())/float64(version), "approve-ns")
 }
 
-// BenchmarkSnapshot measures how long it takes to take and to restore a snapshot of a full registry: 16 approved bundles
-// that differ by one route, and a full history.
+// BenchmarkSnapshot measures how long it takes to take and to restore a snapshot of a full registry: 16 approved
+// bundles that differ by one route, and a full history.
 func BenchmarkSnapshot(b *testing.B) {
 	RegisterTestingT(b)
 	r := registry.New(keyring("ana"))
--- a/state/registry/command.go
+++ b/state/registry/command.go
@@ -12,8 +12,8 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// Command is one entry of the replicated log. Either exactly one of Stage, Approve and Stop is set, or Stage and Approve
-// together. The two together take effect in one step or not at all.
+// Command is one entry of the replicated log. Either exactly one of Stage, Approve and Stop is set, or Stage and
+// Approve together. The two together take effect in one step or not at all.
 type Command struct {
 	Stage   *Stage           `cbor:"1,keyasint,omitempty"`
 	Approve *bundle.Approval `cbor:"2,keyasint,omitempty"`
--- a/state/registry/fuzz_test.go
+++ b/state/registry/fuzz_test.go
@@ -10,8 +10,8 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// FuzzUpdate guards against an update that causes a panic, is applied although it is invalid, or leaves parts in the store
-// when it is refused. The input is compressed by the test, so that the fuzzer reaches the decoder.
+// FuzzUpdate guards against an update that causes a panic, is applied although it is invalid, or leaves parts in the
+// store when it is refused. The input is compressed by the test, so that the fuzzer reaches the decoder.
 func FuzzUpdate(f *testing.F) {
 	RegisterTestingT(f)
 	for _, update := range []bundle.Update{updateOf(bundleWith(1)), {Base: digestOf(2), Target: digestOf(2)}} {
@@ -42,7 +42,8 @@
 	})
 }
 
-// FuzzCommand guards against log entries that cause a panic, or that approve or stop a version without a valid signature.
+// FuzzCommand guards against log entries that cause a panic, or that approve or stop a version without a valid
+// signature.
 func FuzzCommand(f *testing.F) {
 	RegisterTestingT(f)
 	for _, c := range []registry.Command{stage(1, "ana", 1), approve(1, "eve", 1, 0), stop(1, "eve")} {
--- a/state/registry/snapshot.go
+++ b/state/registry/snapshot.go
@@ -12,8 +12,8 @@
 // snapshotFormat is the version of the snapshot encoding.
 const snapshotFormat = 1
 
-// snapshot is the content of a snapshot. Each bundle is stored as an update relative to the one before it, so that parts
-// in common are stored once.
+// snapshot is the content of a snapshot. Each bundle is stored as an update relative to the one before it, so that
+// parts in common are stored once.
 type snapshot struct {
 	Format         uint64           `cbor:"1,keyasint"`
 	Index          uint64           `cbor:"2,keyasint"`
--- a/state/registry/update.go
+++ b/state/registry/update.go
@@ -70,9 +70,9 @@
 	return u, nil
 }
 
-// Shrink returns the stage with a smaller update, which is relative to the latest approved bundle and leaves out the parts
-// that the registry has. The leader calls it before it proposes a stage. If the base is dropped before the stage is
-// applied, the result is CodeMissingParts, and the original stage must be sent again.
+// Shrink returns the stage with a smaller update, which is relative to the latest approved bundle and leaves out the
+// parts that the registry has. The leader calls it before it proposes a stage. If the base is dropped before the stage
+// is applied, the result is CodeMissingParts, and the original stage must be sent again.
 func (r *Registry) Shrink(s Stage) (Stage, error) {
 	update, err := DecodeUpdate(s.Update)
 	if err != nil {
