--- a/state/disk/fake.go
+++ b/state/disk/fake.go
@@ -14,15 +14,15 @@
 
 // Fake is an FS in memory with faults. It is not safe for concurrent use.
 type Fake struct {
-	rng        *rand.Rand
-	names      map[string]*fakeFile
-	pending    []folderChange
-	durable    map[string]*fakeFile
-	generation int
-	tear       bool
-	failWrites int
-	failSyncs  int
-	stats      FakeStats
+	rng          *rand.Rand
+	files        map[string]*fakeFile
+	pending      []folderChange
+	durableFiles map[string]*fakeFile
+	generation   int
+	tornWrites   bool
+	failWrites   int
+	failSyncs    int
+	stats        FakeStats
 }
 
 // FakeStats counts operations since the creation of a Fake.
@@ -50,12 +50,12 @@
 
 // NewFake returns an empty fake. rng selects which unsynced changes survive a crash.
 func NewFake(rng *rand.Rand) *Fake {
-	return &Fake{rng: rng, names: map[string]*fakeFile{}, durable: map[string]*fakeFile{}}
+	return &Fake{rng: rng, files: map[string]*fakeFile{}, durableFiles: map[string]*fakeFile{}}
 }
 
 // SetTornWrites selects what Crash keeps of unsynced changes: nothing, or a random prefix of the changes of each file and of
 // the folder. The last kept write is torn: a prefix of it remains, in which sectors may be zero.
-func (f *Fake) SetTornWrites(on bool) { f.tear = on }
+func (f *Fake) SetTornWrites(on bool) { f.tornWrites = on }
 
 // FailWrites makes the next writes fail. A failed write may leave a prefix of its data.
 func (f *Fake) FailWrites(count int) { f.failWrites = count }
@@ -68,7 +68,7 @@
 
 // FlipBit inverts one bit of a file, in the current and in the durable content.
 func (f *Fake) FlipBit(name string, offset int64, bit uint) error {
-	file, ok := f.names[name]
+	file, ok := f.files[name]
 	if !ok {
 		return errors.Wrapf(ErrNotFound, "%q", name)
 	}
@@ -89,26 +89,26 @@
 	f.generation++
 	f.failWrites, f.failSyncs = 0, 0
 	kept := 0
-	if f.tear {
+	if f.tornWrites {
 		kept = f.rng.Intn(len(f.pending) + 1)
 	}
 	for _, change := range f.pending[:kept] {
-		change.apply(f.durable)
+		change.apply(f.durableFiles)
 	}
 	f.pending = nil
 	// Sorted order makes the use of rng, and so the outcome, repeatable.
-	for _, name := range slices.Sorted(maps.Keys(f.durable)) {
-		f.crashFile(f.durable[name])
+	for _, name := range slices.Sorted(maps.Keys(f.durableFiles)) {
+		f.crashFile(f.durableFiles[name])
 	}
-	f.names = maps.Clone(f.durable)
+	f.files = maps.Clone(f.durableFiles)
 }
 
 func (f *Fake) crashFile(file *fakeFile) {
-	if f.tear && len(file.pending) > 0 {
+	if f.tornWrites && len(file.pending) > 0 {
 		kept := f.rng.Intn(len(file.pending) + 1)
 		for i, change := range file.pending[:kept] {
 			if i == kept-1 {
-				change = f.torn(change)
+				change = f.tearWrite(change)
 			}
 			file.durable = change.apply(file.durable)
 		}
@@ -117,9 +117,9 @@
 	file.content = slices.Clone(file.durable)
 }
 
-// torn returns a change of which only a part reached the disk. Sectors may reach it in any order, so that one sector
+// tearWrite returns a change of which only a part reached the disk. Sectors may reach it in any order, so that one sector
 // inside of the kept prefix may still be zero.
-func (f *Fake) torn(change fileChange) fileChange {
+func (f *Fake) tearWrite(change fileChange) fileChange {
 	if change.data == nil {
 		return change
 	}
@@ -156,9 +156,9 @@
 	}
 }
 
-func (f *Fake) change(changes map[string]*fakeFile) {
+func (f *Fake) changeFolder(changes map[string]*fakeFile) {
 	change := folderChange{changes: changes}
-	change.apply(f.names)
+	change.apply(f.files)
 	f.pending = append(f.pending, change)
 }
 
@@ -167,10 +167,10 @@
 	if err := checkName(name); err != nil {
 		return nil, err
 	}
-	file, ok := f.names[name]
+	file, ok := f.files[name]
 	if !ok {
 		file = &fakeFile{}
-		f.change(map[string]*fakeFile{name: file})
+		f.changeFolder(map[string]*fakeFile{name: file})
 	}
 	return &fakeHandle{fs: f, file: file, generation: f.generation}, nil
 }
@@ -180,27 +180,27 @@
 	if err := errors.CombineErrors(checkName(from), checkName(to)); err != nil {
 		return err
 	}
-	file, ok := f.names[from]
+	file, ok := f.files[from]
 	if !ok {
 		return errors.Wrapf(ErrNotFound, "%q", from)
 	}
 	if from != to {
-		f.change(map[string]*fakeFile{from: nil, to: file})
+		f.changeFolder(map[string]*fakeFile{from: nil, to: file})
 	}
 	return nil
 }
 
 // Remove implements FS.
 func (f *Fake) Remove(name string) error {
-	if _, ok := f.names[name]; !ok {
+	if _, ok := f.files[name]; !ok {
 		return errors.Wrapf(ErrNotFound, "%q", name)
 	}
-	f.change(map[string]*fakeFile{name: nil})
+	f.changeFolder(map[string]*fakeFile{name: nil})
 	return nil
 }
 
 // List implements FS.
-func (f *Fake) List() ([]string, error) { return slices.Sorted(maps.Keys(f.names)), nil }
+func (f *Fake) List() ([]string, error) { return slices.Sorted(maps.Keys(f.files)), nil }
 
 // SyncFolder implements FS.
 func (f *Fake) SyncFolder() error {
@@ -209,7 +209,7 @@
 		return errors.Wrap(ErrInjected, "sync folder")
 	}
 	for _, change := range f.pending {
-		change.apply(f.durable)
+		change.apply(f.durableFiles)
 	}
 	f.pending = nil
 	return nil
@@ -276,10 +276,10 @@
 	if len(p) == 0 {
 		return
 	}
-	h.record(fileChange{data: slices.Clone(p), size: int64(len(h.file.content))})
+	h.applyChange(fileChange{data: slices.Clone(p), size: int64(len(h.file.content))})
 }
 
-func (h *fakeHandle) record(change fileChange) {
+func (h *fakeHandle) applyChange(change fileChange) {
 	h.file.content = change.apply(h.file.content)
 	h.file.pending = append(h.file.pending, change)
 }
@@ -306,7 +306,7 @@
 	if size < 0 || size > int64(len(h.file.content)) {
 		return errors.Newf("disk: cannot truncate %d bytes to %d", len(h.file.content), size)
 	}
-	h.record(fileChange{size: size})
+	h.applyChange(fileChange{size: size})
 	return nil
 }
 
--- a/state/wal/frame.go
+++ b/state/wal/frame.go
@@ -17,15 +17,15 @@
 //	offset 16 flags
 //	offset 20 CRC-32C of the header up to here
 const (
-	headerBytes  = 24
-	trailerBytes = 4
-	alignment    = 8
-	frameMagic   = 0x53475731 // "SGW1"
+	headerBytes    = 24
+	trailerBytes   = 4
+	frameAlignment = 8
+	frameMagic     = 0x53475731 // "SGW1"
 	// sectorBytes is the unit in which disks write. A crash can leave sectors of an unsynced write as zeros.
 	sectorBytes = 512
-	// flagEmptySector marks a frame in which a whole sector has at most one set bit. In such a frame, a sector of zeros
+	// flagSparseSector marks a frame in which a whole sector has at most one set bit. In such a frame, a sector of zeros
 	// is no evidence of a torn write.
-	flagEmptySector = 1
+	flagSparseSector = 1
 	// maxBodyBytes bounds a frame in a segment. It leaves room for one entry of raft.MaxEntryBytes.
 	maxBodyBytes = 32 << 20
 )
@@ -34,31 +34,31 @@
 
 // frameBytes returns the size of a frame around a body.
 func frameBytes(body int) int {
-	return (headerBytes + body + trailerBytes + alignment - 1) / alignment * alignment
+	return (headerBytes + body + trailerBytes + frameAlignment - 1) / frameAlignment * frameAlignment
 }
 
 // appendFrame appends a frame to a batch that will be written at offset start of a file.
-func appendFrame(batch []byte, start int64, body []byte) []byte {
-	at := len(batch)
+func appendFrame(batch []byte, batchOffset int64, body []byte) []byte {
+	frameStart := len(batch)
 	batch = append(batch, make([]byte, frameBytes(len(body)))...)
-	frame := batch[at:]
+	frame := batch[frameStart:]
 	copy(frame[headerBytes:], body)
 	binary.LittleEndian.PutUint32(frame[len(frame)-trailerBytes:], crc32.Checksum(frame[headerBytes:len(frame)-trailerBytes], castagnoli))
 	var flags uint32
-	if sparsestSector(frame, start+int64(at), headerBytes) <= 1 {
-		flags = flagEmptySector
+	if fewestSectorBits(frame, batchOffset+int64(frameStart), headerBytes) <= 1 {
+		flags = flagSparseSector
 	}
 	binary.LittleEndian.PutUint32(frame, frameMagic)
 	binary.LittleEndian.PutUint32(frame[4:], uint32(len(body)))
-	binary.LittleEndian.PutUint64(frame[8:], ^uint64(start))
+	binary.LittleEndian.PutUint64(frame[8:], ^uint64(batchOffset))
 	binary.LittleEndian.PutUint32(frame[16:], flags)
 	binary.LittleEndian.PutUint32(frame[20:], crc32.Checksum(frame[:20], castagnoli))
 	return batch
 }
 
-// sparsestSector returns the smallest number of set bits in any sector of data from position from on. data starts at
+// fewestSectorBits returns the smallest number of set bits in any sector of data from position from on. data starts at
 // offset of a file.
-func sparsestSector(data []byte, offset int64, from int) int {
+func fewestSectorBits(data []byte, offset int64, from int) int {
 	fewest := 8 * sectorBytes
 	for from < len(data) {
 		end := min(len(data), from+sectorBytes-int((offset+int64(from))%sectorBytes))
@@ -72,24 +72,24 @@
 	return fewest
 }
 
-type header struct {
-	length int
-	synced uint64
-	flags  uint32
+type frameHeader struct {
+	length       int
+	syncedOffset uint64
+	flags        uint32
 }
 
 // parseHeader returns false if data does not start with a valid header.
-func parseHeader(data []byte) (header, bool) {
+func parseHeader(data []byte) (frameHeader, bool) {
 	if len(data) < headerBytes || binary.LittleEndian.Uint32(data) != frameMagic {
-		return header{}, false
+		return frameHeader{}, false
 	}
 	if binary.LittleEndian.Uint32(data[20:]) != crc32.Checksum(data[:20], castagnoli) {
-		return header{}, false
+		return frameHeader{}, false
 	}
-	return header{
-		length: int(binary.LittleEndian.Uint32(data[4:])),
-		synced: ^binary.LittleEndian.Uint64(data[8:]),
-		flags:  binary.LittleEndian.Uint32(data[16:]),
+	return frameHeader{
+		length:       int(binary.LittleEndian.Uint32(data[4:])),
+		syncedOffset: ^binary.LittleEndian.Uint64(data[8:]),
+		flags:        binary.LittleEndian.Uint32(data[16:]),
 	}, true
 }
 
@@ -134,7 +134,7 @@
 // isTorn reports whether the damaged frame at offset shows the traces of a torn write: missing bytes or a sector of
 // zeros. A flipped bit leaves neither.
 func isTorn(data []byte, offset int) bool {
-	if syncedAfter(data, offset) {
+	if wasSynced(data, offset) {
 		return false
 	}
 	rest := data[offset:]
@@ -143,7 +143,7 @@
 	}
 	h, ok := parseHeader(rest)
 	if !ok {
-		return sparsestSector(rest[:headerBytes], int64(offset), 0) == 0
+		return fewestSectorBits(rest[:headerBytes], int64(offset), 0) == 0
 	}
 	if h.length > maxBodyBytes {
 		return false
@@ -152,13 +152,13 @@
 	if size > len(rest) {
 		return true
 	}
-	return h.flags&flagEmptySector == 0 && sparsestSector(rest[:size], int64(offset), headerBytes) == 0
+	return h.flags&flagSparseSector == 0 && fewestSectorBits(rest[:size], int64(offset), headerBytes) == 0
 }
 
-// syncedAfter reports whether a later frame proves that the frame at offset had been synced.
-func syncedAfter(data []byte, offset int) bool {
-	for at := offset + alignment; at+headerBytes <= len(data); at += alignment {
-		if h, ok := parseHeader(data[at:]); ok && h.synced > uint64(offset) && h.synced <= uint64(at) {
+// wasSynced reports whether a later frame proves that the frame at offset had been synced.
+func wasSynced(data []byte, offset int) bool {
+	for position := offset + frameAlignment; position+headerBytes <= len(data); position += frameAlignment {
+		if h, ok := parseHeader(data[position:]); ok && h.syncedOffset > uint64(offset) && h.syncedOffset <= uint64(position) {
 			return true
 		}
 	}
--- a/state/wal/record.go
+++ b/state/wal/record.go
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// split divides a batch into records. The commit index of each record is covered by its entries, so that any prefix of
+// splitBatch divides a batch into records. The commit index of each record is covered by its entries, so that any prefix of
 // the records is consistent.
-func split(hs raft.HardState, entries []raft.Entry) []record {
+func splitBatch(hs raft.HardState, entries []raft.Entry) []record {
 	var records []record
 	for len(entries) > 0 {
 		count, size := 0, 0
@@ -82,33 +82,33 @@
 	return records
 }
 
-// replay is the state built from records, in order.
-type replay struct {
-	hs      raft.HardState
-	entries []raft.Entry
-	reset   uint64
+// replayState is the state built from records, in order.
+type replayState struct {
+	hardState raft.HardState
+	entries   []raft.Entry
+	reset     uint64
 }
 
-func (r *replay) apply(next record) error {
-	if next.HardState.Term < r.hs.Term {
-		return errors.Wrapf(ErrCorrupt, "term %d follows term %d", next.HardState.Term, r.hs.Term)
+func (r *replayState) apply(next record) error {
+	if next.HardState.Term < r.hardState.Term {
+		return errors.Wrapf(ErrCorrupt, "term %d follows term %d", next.HardState.Term, r.hardState.Term)
 	}
-	r.hs = next.HardState
+	r.hardState = next.HardState
 	if next.Reset != 0 {
 		r.entries = nil
 		r.reset = next.Reset
 	}
 	for _, entry := range next.Entries {
-		if err := r.add(entry); err != nil {
+		if err := r.addEntry(entry); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// add appends an entry, which replaces all entries from its index on. The first entry may be replaced by one with a
+// addEntry appends an entry, which replaces all entries from its index on. The first entry may be replaced by one with a
 // lower index: the segment with the entries before the first one may be gone, since a snapshot covers them.
-func (r *replay) add(entry raft.Entry) error {
+func (r *replayState) addEntry(entry raft.Entry) error {
 	if len(r.entries) > 0 {
 		first, last := r.entries[0].Index, r.entries[len(r.entries)-1].Index
 		if entry.Index > last+1 {
@@ -120,14 +120,14 @@
 	return nil
 }
 
-// finish drops the entries that the snapshot covers or contradicts. needsReset is set if a crash hit between a snapshot
+// reconcile drops the entries that the snapshot covers or contradicts. needsReset is set if a crash hit between a snapshot
 // and the reset of the log that does not lead up to it.
-func (r *replay) finish(s raft.Snapshot) (needsReset bool, err error) {
+func (r *replayState) reconcile(s raft.Snapshot) (needsReset bool, err error) {
 	if r.reset > s.Index {
 		return false, errors.Wrapf(ErrCorrupt, "the log continues after %d, the snapshot ends at %d", r.reset, s.Index)
 	}
 	if len(r.entries) > 0 {
-		if needsReset, err = r.cut(s); err != nil {
+		if needsReset, err = r.dropCovered(s); err != nil {
 			return false, err
 		}
 	}
@@ -135,14 +135,14 @@
 	if len(r.entries) > 0 {
 		last = r.entries[len(r.entries)-1].Index
 	}
-	if r.hs.Commit > last {
-		return false, errors.Wrapf(ErrCorrupt, "commit index %d is after the last entry %d", r.hs.Commit, last)
+	if r.hardState.Commit > last {
+		return false, errors.Wrapf(ErrCorrupt, "commit index %d is after the last entry %d", r.hardState.Commit, last)
 	}
-	r.hs.Commit = max(r.hs.Commit, s.Index)
+	r.hardState.Commit = max(r.hardState.Commit, s.Index)
 	return needsReset, nil
 }
 
-func (r *replay) cut(s raft.Snapshot) (needsReset bool, err error) {
+func (r *replayState) dropCovered(s raft.Snapshot) (needsReset bool, err error) {
 	first, last := r.entries[0].Index, r.entries[len(r.entries)-1].Index
 	if first > s.Index+1 {
 		return false, errors.Wrapf(ErrCorrupt, "entries %d to %d are missing", s.Index+1, first-1)
--- a/state/wal/wal.go
+++ b/state/wal/wal.go
@@ -32,10 +32,10 @@
 )
 
 const (
-	identityName   = "identity"
-	segmentPrefix  = "segment-"
-	snapshotPrefix = "snapshot-"
-	temporary      = ".tmp"
+	identityName    = "identity"
+	segmentPrefix   = "segment-"
+	snapshotPrefix  = "snapshot-"
+	temporarySuffix = ".tmp"
 	// identityBytes gives 80 random bits, which encode to 16 characters.
 	identityBytes = 10
 	// maxSnapshotBytes bounds a snapshot file. It is below the 4 GiB limit of the frame's length field.
@@ -65,25 +65,25 @@
 // segment is one file of records.
 type segment struct {
 	sequence uint64
-	// last is the highest entry index that was ever written to the segment.
-	last uint64
+	// highestIndex is the highest entry index that was ever written to the segment.
+	highestIndex uint64
 }
 
 // termRun says that entries from first on have this term.
-type termRun struct{ first, term uint64 }
+type termRun struct{ firstIndex, term uint64 }
 
 // Log is an open log. It is not safe for concurrent use.
 type Log struct {
-	fs       disk.FS
-	options  Options
-	active   disk.File
-	size     int64
-	segments []segment
-	hs       raft.HardState
-	snapshot uint64 // index of the newest snapshot
-	last     uint64 // index of the last entry, or of the snapshot
-	terms    []termRun
-	failure  error
+	fs            disk.FS
+	options       Options
+	activeFile    disk.File
+	activeSize    int64
+	segments      []segment
+	hardState     raft.HardState
+	snapshotIndex uint64 // index of the newest snapshot
+	lastIndex     uint64 // index of the last entry, or of the snapshot
+	terms         []termRun
+	failure       error
 }
 
 // Open recovers the folder, or initialises an empty one.
@@ -105,50 +105,50 @@
 	return l, recovered, nil
 }
 
-// folder is the content of a data folder.
-type folder struct {
+// folderContent is the content of a data folderContent.
+type folderContent struct {
 	identity  bool
 	segments  []uint64
 	snapshots []uint64
 }
 
 // readFolder lists the files and removes unfinished ones.
-func (l *Log) readFolder() (folder, error) {
+func (l *Log) readFolder() (folderContent, error) {
 	names, err := l.fs.List()
 	if err != nil {
-		return folder{}, err
+		return folderContent{}, err
 	}
-	var found folder
+	var found folderContent
 	for _, name := range names {
-		if strings.HasSuffix(name, temporary) {
+		if strings.HasSuffix(name, temporarySuffix) {
 			if err := l.fs.Remove(name); err != nil {
-				return folder{}, err
+				return folderContent{}, err
 			}
 			continue
 		}
 		if name == identityName {
 			found.identity = true
 		}
-		if number, ok := parseName(name, segmentPrefix); ok {
+		if number, ok := parseNumberedName(name, segmentPrefix); ok {
 			found.segments = append(found.segments, number)
 		}
-		if number, ok := parseName(name, snapshotPrefix); ok {
+		if number, ok := parseNumberedName(name, snapshotPrefix); ok {
 			found.snapshots = append(found.snapshots, number)
 		}
 	}
 	return found, nil
 }
 
-// numbered returns a name whose sorted order is the numeric order.
-func numbered(prefix string, number uint64) string { return fmt.Sprintf("%s%016x", prefix, number) }
+// numberedName returns a name whose sorted order is the numeric order.
+func numberedName(prefix string, number uint64) string { return fmt.Sprintf("%s%016x", prefix, number) }
 
-func parseName(name, prefix string) (uint64, bool) {
+func parseNumberedName(name, prefix string) (uint64, bool) {
 	digits, ok := strings.CutPrefix(name, prefix)
 	if !ok {
 		return 0, false
 	}
 	number, err := strconv.ParseUint(digits, 16, 64)
-	return number, err == nil && numbered(prefix, number) == name
+	return number, err == nil && numberedName(prefix, number) == name
 }
 
 func (l *Log) recover() (Recovered, error) {
@@ -175,17 +175,17 @@
 	if err != nil {
 		return Recovered{}, err
 	}
-	needsReset, err := state.finish(recovered.Snapshot)
+	needsReset, err := state.reconcile(recovered.Snapshot)
 	if err != nil {
 		return Recovered{}, err
 	}
-	recovered.HardState, recovered.Entries, recovered.TruncatedBytes = state.hs, state.entries, truncated
-	l.hs = state.hs
-	l.snapshot = recovered.Snapshot.Index
-	l.startTerms(recovered.Snapshot)
-	l.noteEntries(recovered.Entries)
+	recovered.HardState, recovered.Entries, recovered.TruncatedBytes = state.hardState, state.entries, truncated
+	l.hardState = state.hardState
+	l.snapshotIndex = recovered.Snapshot.Index
+	l.resetTerms(recovered.Snapshot)
+	l.trackEntries(recovered.Entries)
 	if needsReset {
-		if err := l.roll(recovered.Snapshot.Index); err != nil {
+		if err := l.startSegment(recovered.Snapshot.Index); err != nil {
 			return Recovered{}, err
 		}
 	}
@@ -194,16 +194,16 @@
 }
 
 // initialise creates the first segment, then the identity. A folder with an identity therefore always has a segment.
-func (l *Log) initialise(found folder) (Recovered, error) {
+func (l *Log) initialise(found folderContent) (Recovered, error) {
 	state, _, err := l.replaySegments(found.segments)
 	if err != nil {
 		return Recovered{}, err
 	}
-	if len(found.snapshots) > 0 || state.hs != (raft.HardState{}) || len(state.entries) > 0 {
+	if len(found.snapshots) > 0 || state.hardState != (raft.HardState{}) || len(state.entries) > 0 {
 		return Recovered{}, errors.Wrap(ErrCorrupt, "no identity")
 	}
 	if len(found.segments) == 0 {
-		if err := l.roll(0); err != nil {
+		if err := l.startSegment(0); err != nil {
 			return Recovered{}, err
 		}
 	}
@@ -212,19 +212,19 @@
 		return Recovered{}, errors.Wrap(err, "wal: identity")
 	}
 	identity := strings.ToLower(base32.StdEncoding.EncodeToString(random))
-	if err := l.writeFile(identityName, []byte(identity)); err != nil {
+	if err := l.writeFrameFile(identityName, []byte(identity)); err != nil {
 		return Recovered{}, err
 	}
 	return Recovered{Identity: raft.MemberID(identity)}, nil
 }
 
 func (l *Log) readIdentity() (raft.MemberID, error) {
-	body, err := l.readFile(identityName)
+	body, err := l.readFrameFile(identityName)
 	return raft.MemberID(body), err
 }
 
 func (l *Log) readSnapshot(index uint64) (raft.Snapshot, error) {
-	body, err := l.readFile(numbered(snapshotPrefix, index))
+	body, err := l.readFrameFile(numberedName(snapshotPrefix, index))
 	if err != nil {
 		return raft.Snapshot{}, err
 	}
@@ -239,38 +239,38 @@
 }
 
 // replaySegments reads all segments and opens the last one for appending.
-func (l *Log) replaySegments(sequences []uint64) (replay, int64, error) {
-	var state replay
+func (l *Log) replaySegments(sequences []uint64) (replayState, int64, error) {
+	var state replayState
 	var truncated int64
 	for i, sequence := range sequences {
-		name := numbered(segmentPrefix, sequence)
+		name := numberedName(segmentPrefix, sequence)
 		if i > 0 && sequence != sequences[i-1]+1 {
-			return replay{}, 0, errors.Wrapf(ErrCorrupt, "no segment before %s", name)
+			return replayState{}, 0, errors.Wrapf(ErrCorrupt, "no segment before %s", name)
 		}
 		isLast := i == len(sequences)-1
-		file, data, err := l.readAll(name)
+		file, data, err := l.openAndRead(name)
 		if err != nil {
-			return replay{}, 0, err
+			return replayState{}, 0, err
 		}
 		end, highest, err := state.applySegment(data, isLast)
 		if err != nil {
-			return replay{}, 0, errors.Wrap(err, name)
+			return replayState{}, 0, errors.Wrap(err, name)
 		}
-		l.segments = append(l.segments, segment{sequence: sequence, last: highest})
+		l.segments = append(l.segments, segment{sequence: sequence, highestIndex: highest})
 		if !isLast {
 			file.Close()
 			continue
 		}
 		truncated = int64(len(data) - end)
-		if err := l.activate(file, int64(end), truncated > 0); err != nil {
-			return replay{}, 0, err
+		if err := l.activateSegment(file, int64(end), truncated > 0); err != nil {
+			return replayState{}, 0, err
 		}
 	}
 	return state, truncated, nil
 }
 
 // applySegment returns the size of the intact part and the highest entry index.
-func (r *replay) applySegment(data []byte, isLast bool) (end int, highest uint64, err error) {
+func (r *replayState) applySegment(data []byte, isLast bool) (end int, highest uint64, err error) {
 	end, err = scanFrames(data, isLast, func(body []byte) error {
 		var next record
 		if err := decode(body, &next); err != nil {
@@ -284,8 +284,8 @@
 	return end, highest, err
 }
 
-// activate prepares a segment for appending. The sync covers records of an earlier run whose sync failed.
-func (l *Log) activate(file disk.File, size int64, truncate bool) error {
+// activateSegment prepares a segment for appending. The sync covers records of an earlier run whose sync failed.
+func (l *Log) activateSegment(file disk.File, size int64, truncate bool) error {
 	if truncate {
 		if err := file.Truncate(size); err != nil {
 			return err
@@ -294,11 +294,11 @@
 	if err := file.Sync(); err != nil {
 		return err
 	}
-	l.active, l.size = file, size
+	l.activeFile, l.activeSize = file, size
 	return l.fs.SyncFolder()
 }
 
-func (l *Log) readAll(name string) (disk.File, []byte, error) {
+func (l *Log) openAndRead(name string) (disk.File, []byte, error) {
 	file, err := l.fs.Open(name)
 	if err != nil {
 		return nil, nil, err
@@ -314,9 +314,9 @@
 	return file, data, nil
 }
 
-// readFile reads a file of one frame. Such files are renamed only once they are synced, so any damage is corruption.
-func (l *Log) readFile(name string) ([]byte, error) {
-	file, data, err := l.readAll(name)
+// readFrameFile reads a file of one frame. Such files are renamed only once they are synced, so any damage is corruption.
+func (l *Log) readFrameFile(name string) ([]byte, error) {
+	file, data, err := l.openAndRead(name)
 	if err != nil {
 		return nil, err
 	}
@@ -328,9 +328,9 @@
 	return body, nil
 }
 
-// writeFile durably creates a file of one frame.
-func (l *Log) writeFile(name string, body []byte) error {
-	file, err := l.fs.Open(name + temporary)
+// writeFrameFile durably creates a file of one frame.
+func (l *Log) writeFrameFile(name string, body []byte) error {
+	file, err := l.fs.Open(name + temporarySuffix)
 	if err != nil {
 		return err
 	}
@@ -344,7 +344,7 @@
 	if err := file.Sync(); err != nil {
 		return err
 	}
-	if err := l.fs.Rename(name+temporary, name); err != nil {
+	if err := l.fs.Rename(name+temporarySuffix, name); err != nil {
 		return err
 	}
 	return l.fs.SyncFolder()
@@ -358,37 +358,37 @@
 	if err := l.checkAppend(hs, entries); err != nil {
 		return err
 	}
-	if l.size >= l.options.SegmentBytes {
-		if err := l.roll(0); err != nil {
+	if l.activeSize >= l.options.SegmentBytes {
+		if err := l.startSegment(0); err != nil {
 			return l.fail(err)
 		}
 	}
-	batch, err := l.encodeBatch(split(hs, entries))
+	batch, err := l.encodeBatch(splitBatch(hs, entries))
 	if err != nil {
 		return err
 	}
 	if err := l.write(batch); err != nil {
 		return l.fail(err)
 	}
-	l.hs = hs
-	l.noteEntries(entries)
+	l.hardState = hs
+	l.trackEntries(entries)
 	if len(entries) > 0 {
 		active := &l.segments[len(l.segments)-1]
-		active.last = max(active.last, l.last)
+		active.highestIndex = max(active.highestIndex, l.lastIndex)
 	}
 	return nil
 }
 
 func (l *Log) checkAppend(hs raft.HardState, entries []raft.Entry) error {
-	if hs.Term < l.hs.Term {
-		return errors.Wrapf(ErrInvalid, "term %d after term %d", hs.Term, l.hs.Term)
+	if hs.Term < l.hardState.Term {
+		return errors.Wrapf(ErrInvalid, "term %d after term %d", hs.Term, l.hardState.Term)
 	}
 	if len(entries) == 0 {
 		return nil
 	}
 	first := entries[0].Index
-	if first <= l.snapshot || first > l.last+1 {
-		return errors.Wrapf(ErrInvalid, "entry %d after snapshot %d and entry %d", first, l.snapshot, l.last)
+	if first <= l.snapshotIndex || first > l.lastIndex+1 {
+		return errors.Wrapf(ErrInvalid, "entry %d after snapshot %d and entry %d", first, l.snapshotIndex, l.lastIndex)
 	}
 	for i, entry := range entries {
 		if entry.Index != first+uint64(i) {
@@ -408,20 +408,20 @@
 		if len(body) > maxBodyBytes {
 			return nil, errors.Wrapf(ErrTooLarge, "%d bytes", len(body))
 		}
-		batch = appendFrame(batch, l.size, body)
+		batch = appendFrame(batch, l.activeSize, body)
 	}
 	return batch, nil
 }
 
 // write appends a batch to the active segment and syncs it.
 func (l *Log) write(batch []byte) error {
-	if _, err := l.active.Write(batch); err != nil {
+	if _, err := l.activeFile.Write(batch); err != nil {
 		return err
 	}
-	if err := l.active.Sync(); err != nil {
+	if err := l.activeFile.Sync(); err != nil {
 		return err
 	}
-	l.size += int64(len(batch))
+	l.activeSize += int64(len(batch))
 	return nil
 }
 
@@ -431,22 +431,22 @@
 	return errors.Wrap(err, "wal: write")
 }
 
-// roll starts a new segment. Its first record repeats the hard state.
-func (l *Log) roll(reset uint64) error {
+// startSegment starts a new segment. Its first record repeats the hard state.
+func (l *Log) startSegment(reset uint64) error {
 	next := uint64(1)
 	if count := len(l.segments); count > 0 {
 		next = l.segments[count-1].sequence + 1
 	}
-	file, err := l.fs.Open(numbered(segmentPrefix, next))
+	file, err := l.fs.Open(numberedName(segmentPrefix, next))
 	if err != nil {
 		return err
 	}
-	if l.active != nil {
-		l.active.Close()
+	if l.activeFile != nil {
+		l.activeFile.Close()
 	}
-	l.active, l.size = file, 0
+	l.activeFile, l.activeSize = file, 0
 	l.segments = append(l.segments, segment{sequence: next})
-	batch, err := l.encodeBatch([]record{{HardState: l.hs, Reset: reset}})
+	batch, err := l.encodeBatch([]record{{HardState: l.hardState, Reset: reset}})
 	if err != nil {
 		return err
 	}
@@ -462,11 +462,11 @@
 	if l.failure != nil {
 		return l.failure
 	}
-	if s.Index == l.snapshot && s.Index > 0 {
+	if s.Index == l.snapshotIndex && s.Index > 0 {
 		return nil
 	}
-	if s.Index < l.snapshot || s.Index == 0 {
-		return errors.Wrapf(ErrInvalid, "snapshot %d after snapshot %d", s.Index, l.snapshot)
+	if s.Index < l.snapshotIndex || s.Index == 0 {
+		return errors.Wrapf(ErrInvalid, "snapshot %d after snapshot %d", s.Index, l.snapshotIndex)
 	}
 	body, err := encode(s)
 	if err != nil {
@@ -475,7 +475,7 @@
 	if len(body) > maxSnapshotBytes {
 		return errors.Wrapf(ErrTooLarge, "snapshot of %d bytes", len(body))
 	}
-	if err := l.writeFile(numbered(snapshotPrefix, s.Index), body); err != nil {
+	if err := l.writeFrameFile(numberedName(snapshotPrefix, s.Index), body); err != nil {
 		return l.fail(err)
 	}
 	if err := l.installSnapshot(s); err != nil {
@@ -486,40 +486,40 @@
 
 // installSnapshot starts a segment after the snapshot and removes the files that it covers.
 func (l *Log) installSnapshot(s raft.Snapshot) error {
-	matches := s.Index <= l.last && l.termAt(s.Index) == s.Term
-	older := l.snapshot
-	l.snapshot = s.Index
+	logMatches := s.Index <= l.lastIndex && l.termAt(s.Index) == s.Term
+	older := l.snapshotIndex
+	l.snapshotIndex = s.Index
 	reset := uint64(0)
-	if !matches {
+	if !logMatches {
 		reset = s.Index
-		l.hs.Commit = 0
+		l.hardState.Commit = 0
 	}
 	// A log that says that the snapshot was committed makes a lost snapshot file evident.
-	l.hs.Commit = max(l.hs.Commit, s.Index)
-	if err := l.roll(reset); err != nil {
+	l.hardState.Commit = max(l.hardState.Commit, s.Index)
+	if err := l.startSegment(reset); err != nil {
 		return err
 	}
-	if !matches {
-		l.startTerms(s)
+	if !logMatches {
+		l.resetTerms(s)
 	}
 	snapshots := []uint64{s.Index}
 	if older != 0 {
 		snapshots = []uint64{older, s.Index}
 	}
-	return l.removeCovered(snapshots, !matches)
+	return l.removeCovered(snapshots, !logMatches)
 }
 
 // removeCovered removes all snapshots but the last, and the oldest segments that hold only covered entries. Each
 // removal is synced before the next one, so that a crash leaves no gap between segments.
 func (l *Log) removeCovered(snapshots []uint64, all bool) error {
-	for len(l.segments) > 1 && (all || l.segments[0].last <= l.snapshot) {
-		if err := l.removeFile(numbered(segmentPrefix, l.segments[0].sequence)); err != nil {
+	for len(l.segments) > 1 && (all || l.segments[0].highestIndex <= l.snapshotIndex) {
+		if err := l.removeFile(numberedName(segmentPrefix, l.segments[0].sequence)); err != nil {
 			return err
 		}
 		l.segments = l.segments[1:]
 	}
 	for len(snapshots) > 1 {
-		if err := l.removeFile(numbered(snapshotPrefix, snapshots[0])); err != nil {
+		if err := l.removeFile(numberedName(snapshotPrefix, snapshots[0])); err != nil {
 			return err
 		}
 		snapshots = snapshots[1:]
@@ -534,34 +534,34 @@
 	return l.fs.SyncFolder()
 }
 
-// startTerms resets the known terms to those of a snapshot.
-func (l *Log) startTerms(s raft.Snapshot) {
-	l.last = s.Index
-	l.terms = []termRun{{first: s.Index, term: s.Term}}
+// resetTerms resets the known terms to those of a snapshot.
+func (l *Log) resetTerms(s raft.Snapshot) {
+	l.lastIndex = s.Index
+	l.terms = []termRun{{firstIndex: s.Index, term: s.Term}}
 }
 
-// noteEntries updates the terms and the last index.
-func (l *Log) noteEntries(entries []raft.Entry) {
+// trackEntries updates the terms and the last index.
+func (l *Log) trackEntries(entries []raft.Entry) {
 	if len(entries) == 0 {
 		return
 	}
 	keep := len(l.terms)
-	for keep > 0 && l.terms[keep-1].first >= entries[0].Index {
+	for keep > 0 && l.terms[keep-1].firstIndex >= entries[0].Index {
 		keep--
 	}
 	l.terms = l.terms[:keep]
 	for _, entry := range entries {
 		if len(l.terms) == 0 || l.terms[len(l.terms)-1].term != entry.Term {
-			l.terms = append(l.terms, termRun{first: entry.Index, term: entry.Term})
+			l.terms = append(l.terms, termRun{firstIndex: entry.Index, term: entry.Term})
 		}
 	}
-	l.last = entries[len(entries)-1].Index
+	l.lastIndex = entries[len(entries)-1].Index
 }
 
 // termAt returns the term of an entry that the log holds.
 func (l *Log) termAt(index uint64) uint64 {
 	for i := len(l.terms) - 1; i >= 0; i-- {
-		if l.terms[i].first <= index {
+		if l.terms[i].firstIndex <= index {
 			return l.terms[i].term
 		}
 	}
@@ -571,5 +571,5 @@
 // Close closes the files.
 func (l *Log) Close() error {
 	l.failure = errors.Wrap(ErrFailed, "closed")
-	return l.active.Close()
+	return l.activeFile.Close()
 }
--- a/state/wal/wal_test.go
+++ b/state/wal/wal_test.go
@@ -144,25 +144,25 @@
 	})
 })
 
-// state is the model of a log.
-type state struct {
+// logModel is the model of a log.
+type logModel struct {
 	hs       raft.HardState
 	snapshot raft.Snapshot
 	entries  []raft.Entry
 }
 
-func (s state) last() uint64 { return s.snapshot.Index + uint64(len(s.entries)) }
+func (s logModel) last() uint64 { return s.snapshot.Index + uint64(len(s.entries)) }
 
-func (s state) append(hs raft.HardState, added []raft.Entry) state {
+func (s logModel) append(hs raft.HardState, added []raft.Entry) logModel {
 	kept := s.entries
 	if len(added) > 0 {
 		kept = kept[:added[0].Index-s.snapshot.Index-1]
 	}
-	return state{hs, s.snapshot, append(append([]raft.Entry(nil), kept...), added...)}
+	return logModel{hs, s.snapshot, append(append([]raft.Entry(nil), kept...), added...)}
 }
 
-func (s state) save(snapshot raft.Snapshot) state {
-	result := state{hs: s.hs, snapshot: snapshot}
+func (s logModel) save(snapshot raft.Snapshot) logModel {
+	result := logModel{hs: s.hs, snapshot: snapshot}
 	if at := snapshot.Index - s.snapshot.Index; at <= uint64(len(s.entries)) && s.entries[at-1].Term == snapshot.Term {
 		result.entries = s.entries[at:]
 	}
@@ -179,7 +179,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var acked, attempted state
+		var acknowledged, attempted logModel
 		term := uint64(1)
 		steps := rapid.IntRange(1, 40).Draw(t, "steps")
 		for step := range steps {
@@ -188,20 +188,20 @@
 				rapid.SampledFrom([]func(int){fake.FailSyncs, fake.FailWrites}).Draw(t, "kind")(1)
 			}
 			if rapid.IntRange(0, 3).Draw(t, "operation") == 0 {
-				index := acked.snapshot.Index + uint64(rapid.IntRange(1, 8).Draw(t, "index"))
+				index := acknowledged.snapshot.Index + uint64(rapid.IntRange(1, 8).Draw(t, "index"))
 				snapshot := raft.Snapshot{Index: index, Term: term - uint64(rapid.IntRange(0, 1).Draw(t, "old"))}
-				attempted = acked.save(snapshot)
+				attempted = acknowledged.save(snapshot)
 				err = log.SaveSnapshot(snapshot)
 			} else {
 				hs := raft.HardState{Term: term, Vote: raft.MemberID(fmt.Sprint(step))}
-				back := rapid.Uint64Range(0, uint64(len(acked.entries))).Draw(t, "back")
-				added := entries(acked.last()-back+1, rapid.Uint64Range(0, 4).Draw(t, "count"), term)
-				attempted = acked.append(hs, added)
+				back := rapid.Uint64Range(0, uint64(len(acknowledged.entries))).Draw(t, "back")
+				added := entries(acknowledged.last()-back+1, rapid.Uint64Range(0, 4).Draw(t, "count"), term)
+				attempted = acknowledged.append(hs, added)
 				err = log.Append(hs, added)
 			}
 			crash := rapid.IntRange(0, 5).Draw(t, "crash") == 0
 			if err == nil {
-				acked = attempted
+				acknowledged = attempted
 			}
 			if err == nil && !crash {
 				continue
@@ -214,20 +214,20 @@
 			if got.Identity != recovered.Identity {
 				t.Fatalf("identity %q, then %q", recovered.Identity, got.Identity)
 			}
-			found := state{got.HardState, got.Snapshot, got.Entries}
+			found := logModel{got.HardState, got.Snapshot, got.Entries}
 			switch {
-			case same(found, acked):
-			case same(found, attempted):
-				acked = attempted
+			case equalStates(found, acknowledged):
+			case equalStates(found, attempted):
+				acknowledged = attempted
 			default:
-				t.Fatalf("step %d: recovered %v\nacknowledged %v\nattempted %v", step, found, acked, attempted)
+				t.Fatalf("step %d: recovered %v\nacknowledged %v\nattempted %v", step, found, acknowledged, attempted)
 			}
 			fake.SetTornWrites(true)
 		}
 	})
 }
 
-func same(a, b state) bool {
+func equalStates(a, b logModel) bool {
 	// A snapshot implies that its entries are committed.
 	a.hs.Commit, b.hs.Commit = max(a.hs.Commit, a.snapshot.Index), max(b.hs.Commit, b.snapshot.Index)
 	return a.hs == b.hs && a.snapshot.Index == b.snapshot.Index && a.snapshot.Term == b.snapshot.Term &&
