--- a/state/disk/disk.go
+++ b/state/disk/disk.go
@@ -1,5 +1,5 @@
-// Package disk is a small file interface with two implementations: real files, and a fake that loses unsynced writes,
-// tears the last write, flips bits and fails operations on demand.
+// Package disk defines a small interface to the files of one folder, with two implementations: real files, and a fake
+// for tests that can lose unsynced writes, tear the last write, flip bits and fail operations.
 package disk
 
 import (
@@ -16,14 +16,14 @@
 	ErrNotFound = errors.New("disk: file not found")
 	// ErrCrashed reports the use of a file that was opened before Fake.Crash.
 	ErrCrashed = errors.New("disk: file was opened before a crash")
-	// ErrInjected reports a failure that a test requested.
+	// ErrInjected reports a failure that was requested with Fake.FailWrites or Fake.FailSyncs.
 	ErrInjected = errors.New("disk: injected failure")
 )
 
 // File is an open file.
 type File interface {
 	io.ReaderAt
-	// Write appends.
+	// Write appends to the file.
 	io.Writer
 	// Sync makes the content durable.
 	Sync() error
@@ -32,7 +32,7 @@
 	Close() error
 }
 
-// FS is one folder of files.
+// FS is a folder of files. Names must not contain path separators.
 type FS interface {
 	// Open opens a file for reading and appending. It creates the file if it does not exist.
 	Open(name string) (File, error)
--- a/state/disk/disk_test.go
+++ b/state/disk/disk_test.go
@@ -70,7 +70,7 @@
 	var fake *disk.Fake
 	BeforeEach(func() { fake = disk.NewFake(rand.New(rand.NewSource(1))) })
 
-	// Guards against code under test passing because the fake keeps what a real disk may lose.
+	// Guards against a fake that keeps what a real disk may lose, which would hide faults in the code that uses it.
 	It("loses unsynced writes, renames and creations on a crash", func() {
 		file := open(fake, "a")
 		write(file, "kept")
@@ -86,8 +86,8 @@
 		Expect(err).To(MatchError(disk.ErrCrashed))
 	})
 
-	// Guards against a fake that never produces the states that tearing allows.
-	It("tears unsynced writes within their sectors", func() {
+	// Guards against a fake that never produces some of the states that a torn write can leave.
+	It("keeps a prefix of an unsynced write, with a sector of zeros, or nothing", func() {
 		seen := map[string]bool{}
 		for range 300 {
 			file := open(fake, "a")
@@ -110,7 +110,7 @@
 		Expect(seen).To(Equal(map[string]bool{"short": true, "zero sector": true, "lost": true}))
 	})
 
-	It("fails writes and syncs and flips bits on demand", func() {
+	It("fails writes and syncs and flips bits as requested", func() {
 		file := open(fake, "a")
 		fake.FailSyncs(1)
 		Expect(file.Sync()).To(MatchError(disk.ErrInjected))
--- a/state/disk/fake.go
+++ b/state/disk/fake.go
@@ -9,10 +9,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// sectorBytes is the unit in which a torn write reaches the fake disk.
+// sectorBytes is the unit in which a disk writes; a torn write can lack any one sector.
 const sectorBytes = 512
 
-// Fake is an FS in memory with faults. It is not safe for concurrent use.
+// Fake is an FS in memory that can crash and fail. It is not safe for concurrent use.
 type Fake struct {
 	rng          *rand.Rand
 	files        map[string]*fakeFile
@@ -30,31 +30,32 @@
 	Writes, WrittenBytes, Syncs, FolderSyncs int
 }
 
-// fakeFile is the content of a file: what is durable, and the operations since the last sync.
+// fakeFile is a file: its current and its durable content, and the changes since the last sync.
 type fakeFile struct {
 	durable []byte
 	content []byte
 	pending []fileChange
 }
 
-// fileChange is an append of data, or a truncation to size if data is nil.
+// fileChange is a truncation to size, or, if data is not nil, an append of data at the offset size.
 type fileChange struct {
 	data []byte
 	size int64
 }
 
-// folderChange sets names to files at once, or removes those whose file is nil.
+// folderChange sets the files of names in one step, or removes the names whose file is nil.
 type folderChange struct {
 	changes map[string]*fakeFile
 }
 
-// NewFake returns an empty fake. rng selects which unsynced changes survive a crash.
+// NewFake returns an empty folder. rng decides which unsynced changes survive a crash.
 func NewFake(rng *rand.Rand) *Fake {
 	return &Fake{rng: rng, files: map[string]*fakeFile{}, durableFiles: map[string]*fakeFile{}}
 }
 
-// SetTornWrites selects what Crash keeps of unsynced changes: nothing, or a random prefix of the changes of each file and of
-// the folder. The last kept write is torn: a prefix of it remains, in which sectors may be zero.
+// SetTornWrites selects what Crash keeps of the unsynced changes. If it is off, Crash keeps none. If it is on, Crash
+// keeps a random prefix of the changes of each file and of the folder; of the last write that is kept, only a prefix
+// remains, in which one sector may be zero.
 func (f *Fake) SetTornWrites(on bool) { f.tornWrites = on }
 
 // FailWrites makes the next writes fail. A failed write may leave a prefix of its data.
@@ -63,7 +64,7 @@
 // FailSyncs makes the next syncs of files and of the folder fail. A failed sync makes nothing durable.
 func (f *Fake) FailSyncs(count int) { f.failSyncs = count }
 
-// Stats returns the operations so far.
+// Stats returns the numbers of operations so far.
 func (f *Fake) Stats() FakeStats { return f.stats }
 
 // FlipBit inverts one bit of a file, in the current and in the durable content.
@@ -83,8 +84,8 @@
 	return nil
 }
 
-// Crash loses unsynced writes and unsynced folder changes, except for what SetTornWrites keeps. Files that are open become
-// unusable.
+// Crash drops unsynced writes and unsynced folder changes, except for those that SetTornWrites keeps. Files that are
+// open become unusable.
 func (f *Fake) Crash() {
 	f.generation++
 	f.failWrites, f.failSyncs = 0, 0
@@ -96,7 +97,7 @@
 		change.apply(f.durableFiles)
 	}
 	f.pending = nil
-	// Sorted order makes the use of rng, and so the outcome, repeatable.
+	// Sorted order makes the use of rng, and with it the result, repeatable.
 	for _, name := range slices.Sorted(maps.Keys(f.durableFiles)) {
 		f.crashFile(f.durableFiles[name])
 	}
@@ -117,8 +118,8 @@
 	file.content = slices.Clone(file.durable)
 }
 
-// tearWrite returns a change of which only a part reached the disk. Sectors may reach it in any order, so that one sector
-// inside of the kept prefix may still be zero.
+// tearWrite returns the part of a change that reached the disk. Sectors may be written in any order, so that one sector
+// within the prefix that is kept may still be zero.
 func (f *Fake) tearWrite(change fileChange) fileChange {
 	if change.data == nil {
 		return change
@@ -156,6 +157,7 @@
 	}
 }
 
+// changeFolder changes the current files at once and the durable ones at the next SyncFolder.
 func (f *Fake) changeFolder(changes map[string]*fakeFile) {
 	change := folderChange{changes: changes}
 	change.apply(f.files)
@@ -279,6 +281,7 @@
 	h.applyChange(fileChange{data: slices.Clone(p), size: int64(len(h.file.content))})
 }
 
+// applyChange changes the current content at once and the durable content at the next Sync.
 func (h *fakeHandle) applyChange(change fileChange) {
 	h.file.content = change.apply(h.file.content)
 	h.file.pending = append(h.file.pending, change)
--- a/state/disk/os.go
+++ b/state/disk/os.go
@@ -11,7 +11,7 @@
 
 type osFS struct{ folder string }
 
-// NewOS returns the files of a folder, which is created if it does not exist.
+// NewOS returns an FS of real files in a folder, which it creates if it does not exist.
 func NewOS(folder string) (FS, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, errors.Wrap(err, "disk: create folder")
@@ -99,7 +99,7 @@
 	return wrap(handle.Sync(), "disk: sync folder")
 }
 
-// wrap adds a message and maps missing files to ErrNotFound.
+// wrap adds a message to an error and turns fs.ErrNotExist into ErrNotFound.
 func wrap(err error, message string) error {
 	if errors.Is(err, fs.ErrNotExist) {
 		return errors.Wrapf(ErrNotFound, "%s: %v", message, err)
--- a/state/wal/export_test.go
+++ b/state/wal/export_test.go
@@ -1,6 +1,6 @@
 package wal
 
-// Exported for the tests of the record reader.
+// Exported for FuzzRecordReader.
 var (
 	AppendFrame = appendFrame
 	ScanFrames  = scanFrames
--- a/state/wal/frame.go
+++ b/state/wal/frame.go
@@ -8,14 +8,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A frame is a 24-byte header, the body, zero padding and the CRC-32C of body and padding. Frames are a multiple of 8 bytes
-// long and aligned, so that each part of a header or checksum that lies in one sector has at least 8 bytes.
+// A frame consists of a 24-byte header, the body, zero padding and the CRC-32C of body and padding. The size of a frame
+// is a multiple of 8 bytes and it starts at a multiple of 8, so that a sector boundary never splits a header or
+// checksum into parts of less than 8 bytes.
 //
-//	offset 0  magic
+//	offset 0  magic number
 //	offset 4  length of the body
-//	offset 8  complement of the offset up to which the file was synced before this frame was written
+//	offset 8  bitwise complement of the offset up to which the file was synced before this frame was written
 //	offset 16 flags
-//	offset 20 CRC-32C of the header up to here
+//	offset 20 CRC-32C of the header's first 20 bytes
+//
+// All numbers are little-endian.
 const (
 	headerBytes    = 24
 	trailerBytes   = 4
@@ -23,21 +26,22 @@
 	frameMagic     = 0x53475731 // "SGW1"
 	// sectorBytes is the unit in which disks write. A crash can leave sectors of an unsynced write as zeros.
 	sectorBytes = 512
-	// flagSparseSector marks a frame in which a whole sector has at most one set bit. In such a frame, a sector of zeros
-	// is no evidence of a torn write.
+	// flagSparseSector marks a frame in which the part in some sector has at most one set bit. In such a frame, a sector
+	// of zeros does not prove a torn write: it can be intact, or one flipped bit can have cleared it.
 	flagSparseSector = 1
-	// maxBodyBytes bounds a frame in a segment. It leaves room for one entry of raft.MaxEntryBytes.
+	// maxBodyBytes bounds the body of a frame in a segment. One entry of raft.MaxEntryBytes fits into it.
 	maxBodyBytes = 32 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// frameBytes returns the size of a frame around a body.
+// frameBytes returns the size of a frame with a body of the given length.
 func frameBytes(body int) int {
 	return (headerBytes + body + trailerBytes + frameAlignment - 1) / frameAlignment * frameAlignment
 }
 
-// appendFrame appends a frame to a batch that will be written at offset start of a file.
+// appendFrame appends a frame to a batch that will be written at offset batchOffset of a file, up to which the file is
+// synced.
 func appendFrame(batch []byte, batchOffset int64, body []byte) []byte {
 	frameStart := len(batch)
 	batch = append(batch, make([]byte, frameBytes(len(body)))...)
@@ -56,8 +60,8 @@
 	return batch
 }
 
-// fewestSectorBits returns the smallest number of set bits in any sector of data from position from on. data starts at
-// offset of a file.
+// fewestSectorBits splits data[from:] at the sector boundaries of the file, in which data starts at offset, and returns
+// the number of set bits in the part that has the fewest.
 func fewestSectorBits(data []byte, offset int64, from int) int {
 	fewest := 8 * sectorBytes
 	for from < len(data) {
@@ -110,9 +114,9 @@
 	return checked[:h.length], size, true
 }
 
-// scanFrames calls visit with the body of each frame and returns the size of the intact part. A damaged frame ends the
-// scan: if it can only be the unsynced tail of a write that a crash tore, and tornAllowed is set, the scan succeeds.
-// Otherwise the damage may be in an acknowledged record, and ErrCorrupt is returned.
+// scanFrames calls visit with the body of each frame and returns the size of the intact part. The scan ends at a
+// damaged frame. If the frame must be part of an unsynced write that a crash has torn, and tornAllowed is set, the scan
+// succeeds. Otherwise the damage may be in an acknowledged record, and ErrCorrupt is returned.
 func scanFrames(data []byte, tornAllowed bool, visit func(body []byte) error) (int, error) {
 	offset := 0
 	for offset < len(data) {
@@ -131,8 +135,8 @@
 	return offset, nil
 }
 
-// isTorn reports whether the damaged frame at offset shows the traces of a torn write: missing bytes or a sector of
-// zeros. A flipped bit leaves neither.
+// isTorn reports whether the damage to the frame at offset is that of a torn write: missing bytes or a sector of zeros.
+// A flipped bit causes neither.
 func isTorn(data []byte, offset int) bool {
 	if wasSynced(data, offset) {
 		return false
--- a/state/wal/record.go
+++ b/state/wal/record.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// maxRecordEntries and targetRecordBytes split a large batch into several records.
+	// maxRecordEntries and targetRecordBytes are the limits at which a batch is split into several records.
 	maxRecordEntries  = 4096
 	targetRecordBytes = 1 << 20
-	// entryOverheadBytes bounds the encoding of an entry without its data.
+	// entryOverheadBytes is an upper bound on the encoded size of an entry without its data.
 	entryOverheadBytes = 32
 )
 
-// record is the body of a frame in a segment. Each record carries the hard state, so that dropping old segments loses
-// nothing but entries.
+// record is the body of a frame in a segment. Each record repeats the hard state, so that removing an old segment drops
+// only entries.
 type record struct {
 	HardState raft.HardState `cbor:"1,keyasint"`
 	Entries   []raft.Entry   `cbor:"2,keyasint,omitempty"`
-	// Reset drops all earlier entries. The log continues after this index, which a snapshot covers.
+	// Reset, if not 0, drops all earlier entries: the log continues after this index, up to which a snapshot covers it.
 	Reset uint64 `cbor:"3,keyasint,omitempty"`
 }
 
 var encoding = mustEncMode(cbor.CoreDetEncOptions())
 
-// decoding rejects unknown fields, so that a record of a newer version is not read in part.
+// decoding rejects unknown fields, so that the fields of a newer version are not silently ignored.
 var decoding = mustDecMode(cbor.DecOptions{
 	DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 	ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
@@ -53,7 +53,7 @@
 	return body, errors.Wrap(err, "wal: encode")
 }
 
-// decode reads a body whose checksum is correct.
+// decode decodes a body whose checksum is correct. A body that cannot be decoded is reported as ErrCorrupt.
 func decode(body []byte, value any) error {
 	if err := decoding.Unmarshal(body, value); err != nil {
 		return errors.Wrapf(ErrCorrupt, "decode: %v", err)
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// splitBatch divides a batch into records. The commit index of each record is covered by its entries, so that any prefix of
-// the records is consistent.
+// splitBatch divides a batch into records. The commit index of each record is at most its last entry, so that any
+// prefix of the records is a consistent log.
 func splitBatch(hs raft.HardState, entries []raft.Entry) []record {
 	var records []record
 	for len(entries) > 0 {
@@ -82,13 +82,14 @@
 	return records
 }
 
-// replayState is the state built from records, in order.
+// replayState is the state after the records that were applied so far.
 type replayState struct {
 	hardState raft.HardState
 	entries   []raft.Entry
 	reset     uint64
 }
 
+// apply applies the next record.
 func (r *replayState) apply(next record) error {
 	if next.HardState.Term < r.hardState.Term {
 		return errors.Wrapf(ErrCorrupt, "term %d follows term %d", next.HardState.Term, r.hardState.Term)
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// addEntry appends an entry, which replaces all entries from its index on. The first entry may be replaced by one with a
-// lower index: the segment with the entries before the first one may be gone, since a snapshot covers them.
+// addEntry appends an entry, which replaces all entries from its index on. The entry may have a lower index than the
+// first one, because the segment with the entries before the first one may have been removed.
 func (r *replayState) addEntry(entry raft.Entry) error {
 	if len(r.entries) > 0 {
 		first, last := r.entries[0].Index, r.entries[len(r.entries)-1].Index
@@ -120,8 +121,9 @@
 	return nil
 }
 
-// reconcile drops the entries that the snapshot covers or contradicts. needsReset is set if a crash hit between a snapshot
-// and the reset of the log that does not lead up to it.
+// reconcile drops the entries that the snapshot covers or contradicts. needsReset reports whether the log must be reset
+// to start after the snapshot, because a crash came between saving a snapshot that contradicts the log and resetting
+// it.
 func (r *replayState) reconcile(s raft.Snapshot) (needsReset bool, err error) {
 	if r.reset > s.Index {
 		return false, errors.Wrapf(ErrCorrupt, "the log continues after %d, the snapshot ends at %d", r.reset, s.Index)
@@ -142,6 +144,8 @@
 	return needsReset, nil
 }
 
+// dropCovered drops the entries up to the snapshot, or all entries if the log does not have the last entry of the
+// snapshot; needsReset reports the latter.
 func (r *replayState) dropCovered(s raft.Snapshot) (needsReset bool, err error) {
 	first, last := r.entries[0].Index, r.entries[len(r.entries)-1].Index
 	if first > s.Index+1 {
--- a/state/wal/wal.go
+++ b/state/wal/wal.go
@@ -1,8 +1,8 @@
-// Package wal stores a raft member's durable state in one folder: an identity, a log of checksummed records in
-// segments, and snapshots.
+// Package wal stores the durable state of a Raft member in one folder: its identity, a write-ahead log of checksummed
+// records in segment files, and snapshots.
 //
-// A crash can tear the last write. Recovery truncates such a tail, which was never acknowledged. Any other damage is
-// reported as ErrCorrupt, since dropping an acknowledged record would let a quorum forget a committed entry.
+// A crash can leave the last write incomplete (torn). Recovery truncates it, as it was never acknowledged. Any other
+// damage is reported as ErrCorrupt: dropping an acknowledged record could lose an entry that a quorum has committed.
 package wal
 
 import (
@@ -21,11 +21,11 @@
 
 // Errors of this package. Callers test for them with errors.Is.
 var (
-	// ErrCorrupt reports durable content that is damaged. The member must be replaced.
+	// ErrCorrupt reports that durable content is damaged. The member must be replaced.
 	ErrCorrupt = errors.New("wal: corrupt")
 	// ErrTooLarge reports a record or snapshot above its size limit.
 	ErrTooLarge = errors.New("wal: record too large")
-	// ErrFailed reports a log whose earlier write failed. It must be opened again.
+	// ErrFailed reports a log in which an earlier write failed, or that is closed. It must be opened again.
 	ErrFailed = errors.New("wal: earlier write failed")
 	// ErrInvalid reports an argument that would make the log inconsistent.
 	ErrInvalid = errors.New("wal: invalid argument")
@@ -40,11 +40,11 @@
 	identityBytes = 10
 	// maxSnapshotBytes bounds a snapshot file. It is below the 4 GiB limit of the frame's length field.
 	maxSnapshotBytes = 1 << 30
-	// defaultSegmentBytes bounds the space that covered records occupy until their segment is dropped.
+	// defaultSegmentBytes bounds the space taken by records that a snapshot covers, which are dropped by whole segments.
 	defaultSegmentBytes = 16 << 20
 )
 
-// Options adjust a log. The zero value is the default.
+// Options are the settings of a log. Zero fields take the defaults.
 type Options struct {
 	// SegmentBytes is the size after which a new segment is started. Default: 16 MiB.
 	SegmentBytes int64
@@ -52,41 +52,45 @@
 	Entropy io.Reader
 }
 
-// Recovered is the durable state found by Open.
+// Recovered is the durable state that Open found. If the folder was empty, only Identity is set.
 type Recovered struct {
 	Identity  raft.MemberID
 	HardState raft.HardState
 	Snapshot  raft.Snapshot
 	Entries   []raft.Entry
-	// TruncatedBytes is the size of a torn tail that was removed.
+	// TruncatedBytes is the size of the torn write that was removed from the end of the log.
 	TruncatedBytes int64
 }
 
-// segment is one file of records.
+// segment describes one file of records.
 type segment struct {
 	sequence uint64
-	// highestIndex is the highest entry index that was ever written to the segment.
+	// highestIndex is the highest index of the entries in the segment, also of those that were replaced later.
 	highestIndex uint64
 }
 
-// termRun says that entries from first on have this term.
+// termRun is a run of entries of the same term, which starts at firstIndex.
 type termRun struct{ firstIndex, term uint64 }
 
 // Log is an open log. It is not safe for concurrent use.
 type Log struct {
-	fs            disk.FS
-	options       Options
-	activeFile    disk.File
-	activeSize    int64
+	fs      disk.FS
+	options Options
+	// activeFile is the last segment, to which records are appended.
+	activeFile disk.File
+	activeSize int64 // bytes
+	// segments lists the segment files, oldest first.
 	segments      []segment
 	hardState     raft.HardState
 	snapshotIndex uint64 // index of the newest snapshot
 	lastIndex     uint64 // index of the last entry, or of the snapshot
-	terms         []termRun
-	failure       error
+	// terms holds the terms of the entries from the snapshot on.
+	terms []termRun
+	// failure is returned by all writes after one has failed or the log was closed.
+	failure error
 }
 
-// Open recovers the folder, or initialises an empty one.
+// Open recovers the state from the folder, or initialises the folder if it is empty.
 func Open(fs disk.FS) (*Log, Recovered, error) { return OpenWith(fs, Options{}) }
 
 // OpenWith is Open with options.
@@ -105,14 +109,15 @@
 	return l, recovered, nil
 }
 
-// folderContent is the content of a data folderContent.
+// folderContent lists the files of a data folder: whether there is an identity, the sequence numbers of the segments
+// and the indexes of the snapshots, both ascending.
 type folderContent struct {
 	identity  bool
 	segments  []uint64
 	snapshots []uint64
 }
 
-// readFolder lists the files and removes unfinished ones.
+// readFolder lists the files and removes temporary ones, whose creation a crash interrupted.
 func (l *Log) readFolder() (folderContent, error) {
 	names, err := l.fs.List()
 	if err != nil {
@@ -139,9 +144,10 @@
 	return found, nil
 }
 
-// numberedName returns a name whose sorted order is the numeric order.
+// numberedName returns a file name with a hexadecimal number of fixed width, so that names sort in numeric order.
 func numberedName(prefix string, number uint64) string { return fmt.Sprintf("%s%016x", prefix, number) }
 
+// parseNumberedName returns the number in the output of numberedName, or false for other names.
 func parseNumberedName(name, prefix string) (uint64, bool) {
 	digits, ok := strings.CutPrefix(name, prefix)
 	if !ok {
@@ -151,6 +157,7 @@
 	return number, err == nil && numberedName(prefix, number) == name
 }
 
+// recover reads the folder and prepares the log for appending.
 func (l *Log) recover() (Recovered, error) {
 	found, err := l.readFolder()
 	if err != nil {
@@ -189,11 +196,11 @@
 			return Recovered{}, err
 		}
 	}
-	// An earlier run may have stopped between a snapshot and the removal of what it covers.
+	// An earlier run may have stopped after it saved a snapshot and before it removed the files that the snapshot covers.
 	return recovered, l.removeCovered(found.snapshots, needsReset)
 }
 
-// initialise creates the first segment, then the identity. A folder with an identity therefore always has a segment.
+// initialise creates the first segment and then the identity, so that a folder with an identity always has a segment.
 func (l *Log) initialise(found folderContent) (Recovered, error) {
 	state, _, err := l.replaySegments(found.segments)
 	if err != nil {
@@ -238,7 +245,8 @@
 	return s, nil
 }
 
-// replaySegments reads all segments and opens the last one for appending.
+// replaySegments reads all segments and opens the last one for appending. It returns the state and the size of the torn
+// write that was truncated.
 func (l *Log) replaySegments(sequences []uint64) (replayState, int64, error) {
 	var state replayState
 	var truncated int64
@@ -269,7 +277,7 @@
 	return state, truncated, nil
 }
 
-// applySegment returns the size of the intact part and the highest entry index.
+// applySegment applies the records of a segment. It returns the size of the intact part and the highest entry index.
 func (r *replayState) applySegment(data []byte, isLast bool) (end int, highest uint64, err error) {
 	end, err = scanFrames(data, isLast, func(body []byte) error {
 		var next record
@@ -284,7 +292,8 @@
 	return end, highest, err
 }
 
-// activateSegment prepares a segment for appending. The sync covers records of an earlier run whose sync failed.
+// activateSegment makes a segment the one to append to. It syncs the segment, since the last sync of an earlier run may
+// have failed.
 func (l *Log) activateSegment(file disk.File, size int64, truncate bool) error {
 	if truncate {
 		if err := file.Truncate(size); err != nil {
@@ -298,6 +307,7 @@
 	return l.fs.SyncFolder()
 }
 
+// openAndRead opens a file and returns it with its content.
 func (l *Log) openAndRead(name string) (disk.File, []byte, error) {
 	file, err := l.fs.Open(name)
 	if err != nil {
@@ -314,7 +324,8 @@
 	return file, data, nil
 }
 
-// readFrameFile reads a file of one frame. Such files are renamed only once they are synced, so any damage is corruption.
+// readFrameFile returns the body of a file of one frame. Such a file gets its name only after it was synced, so that
+// any damage to it is reported as ErrCorrupt.
 func (l *Log) readFrameFile(name string) ([]byte, error) {
 	file, data, err := l.openAndRead(name)
 	if err != nil {
@@ -328,7 +339,7 @@
 	return body, nil
 }
 
-// writeFrameFile durably creates a file of one frame.
+// writeFrameFile durably creates a file of one frame: it writes and syncs a temporary file and then renames it.
 func (l *Log) writeFrameFile(name string, body []byte) error {
 	file, err := l.fs.Open(name + temporarySuffix)
 	if err != nil {
@@ -350,7 +361,9 @@
 	return l.fs.SyncFolder()
 }
 
-// Append writes a hard state and entries. It returns after the sync. An entry replaces all entries from its index on.
+// Append writes a hard state and entries, and returns once they are synced. The entries must have consecutive indexes;
+// the first replaces all entries from its index on. Append returns ErrInvalid for a lower term or a gap between
+// entries.
 func (l *Log) Append(hs raft.HardState, entries []raft.Entry) error {
 	if l.failure != nil {
 		return l.failure
@@ -379,25 +392,27 @@
 	return nil
 }
 
+// checkAppend returns ErrInvalid if the term would decrease or the entries do not follow those in the log.
 func (l *Log) checkAppend(hs raft.HardState, entries []raft.Entry) error {
 	if hs.Term < l.hardState.Term {
-		return errors.Wrapf(ErrInvalid, "term %d after term %d", hs.Term, l.hardState.Term)
+		return errors.Wrapf(ErrInvalid, "append term %d after term %d", hs.Term, l.hardState.Term)
 	}
 	if len(entries) == 0 {
 		return nil
 	}
 	first := entries[0].Index
 	if first <= l.snapshotIndex || first > l.lastIndex+1 {
-		return errors.Wrapf(ErrInvalid, "entry %d after snapshot %d and entry %d", first, l.snapshotIndex, l.lastIndex)
+		return errors.Wrapf(ErrInvalid, "append entry %d to a log with snapshot %d and last entry %d", first, l.snapshotIndex, l.lastIndex)
 	}
 	for i, entry := range entries {
 		if entry.Index != first+uint64(i) {
-			return errors.Wrapf(ErrInvalid, "entry %d at position %d after %d", entry.Index, i, first)
+			return errors.Wrapf(ErrInvalid, "entry %d is at position %d of entries that start at %d", entry.Index, i, first)
 		}
 	}
 	return nil
 }
 
+// encodeBatch encodes records as frames for the end of the active segment.
 func (l *Log) encodeBatch(records []record) ([]byte, error) {
 	var batch []byte
 	for _, r := range records {
@@ -425,13 +440,14 @@
 	return nil
 }
 
-// fail makes the log unusable: after a failed write or sync, it is unknown what is durable.
+// fail makes the log unusable, since it is unknown what is durable after a failed write or sync.
 func (l *Log) fail(err error) error {
 	l.failure = errors.Wrapf(ErrFailed, "%v", err)
 	return errors.Wrap(err, "wal: write")
 }
 
-// startSegment starts a new segment. Its first record repeats the hard state.
+// startSegment starts a new segment, whose first record repeats the hard state. If reset is not 0, the record also says
+// that the log continues after that index without the earlier entries.
 func (l *Log) startSegment(reset uint64) error {
 	next := uint64(1)
 	if count := len(l.segments); count > 0 {
@@ -457,7 +473,8 @@
 }
 
 // SaveSnapshot makes a snapshot durable and drops the records that it covers. Entries after the snapshot are kept if
-// the log holds the snapshot's last entry; otherwise the log contradicts the snapshot and is dropped.
+// the log has the last entry of the snapshot with the same term. Otherwise the log contradicts the snapshot and is
+// dropped. SaveSnapshot returns ErrInvalid for a snapshot that is older than the newest one.
 func (l *Log) SaveSnapshot(s raft.Snapshot) error {
 	if l.failure != nil {
 		return l.failure
@@ -466,7 +483,7 @@
 		return nil
 	}
 	if s.Index < l.snapshotIndex || s.Index == 0 {
-		return errors.Wrapf(ErrInvalid, "snapshot %d after snapshot %d", s.Index, l.snapshotIndex)
+		return errors.Wrapf(ErrInvalid, "save snapshot %d after snapshot %d", s.Index, l.snapshotIndex)
 	}
 	body, err := encode(s)
 	if err != nil {
@@ -494,7 +511,7 @@
 		reset = s.Index
 		l.hardState.Commit = 0
 	}
-	// A log that says that the snapshot was committed makes a lost snapshot file evident.
+	// If the snapshot file is lost later, recovery finds a commit index beyond the last entry and reports ErrCorrupt.
 	l.hardState.Commit = max(l.hardState.Commit, s.Index)
 	if err := l.startSegment(reset); err != nil {
 		return err
@@ -509,8 +526,9 @@
 	return l.removeCovered(snapshots, !logMatches)
 }
 
-// removeCovered removes all snapshots but the last, and the oldest segments that hold only covered entries. Each
-// removal is synced before the next one, so that a crash leaves no gap between segments.
+// removeCovered removes all snapshots but the last, and the segments whose entries the last snapshot covers, oldest
+// first. If all is set, it removes all segments but the active one. Each removal is synced before the next one, so that
+// a crash leaves no gap between segments.
 func (l *Log) removeCovered(snapshots []uint64, all bool) error {
 	for len(l.segments) > 1 && (all || l.segments[0].highestIndex <= l.snapshotIndex) {
 		if err := l.removeFile(numberedName(segmentPrefix, l.segments[0].sequence)); err != nil {
@@ -534,13 +552,13 @@
 	return l.fs.SyncFolder()
 }
 
-// resetTerms resets the known terms to those of a snapshot.
+// resetTerms sets the last index and the known terms to those of a snapshot.
 func (l *Log) resetTerms(s raft.Snapshot) {
 	l.lastIndex = s.Index
 	l.terms = []termRun{{firstIndex: s.Index, term: s.Term}}
 }
 
-// trackEntries updates the terms and the last index.
+// trackEntries updates the known terms and the last index after entries were appended.
 func (l *Log) trackEntries(entries []raft.Entry) {
 	if len(entries) == 0 {
 		return
@@ -558,7 +576,7 @@
 	l.lastIndex = entries[len(entries)-1].Index
 }
 
-// termAt returns the term of an entry that the log holds.
+// termAt returns the term of an entry in the log, or 0 if the index is before the known terms.
 func (l *Log) termAt(index uint64) uint64 {
 	for i := len(l.terms) - 1; i >= 0; i-- {
 		if l.terms[i].firstIndex <= index {
@@ -568,7 +586,7 @@
 	return 0
 }
 
-// Close closes the files.
+// Close closes the log. Later writes return ErrFailed.
 func (l *Log) Close() error {
 	l.failure = errors.Wrap(ErrFailed, "closed")
 	return l.activeFile.Close()
--- a/state/wal/wal_test.go
+++ b/state/wal/wal_test.go
@@ -19,7 +19,7 @@
 	"sapphiregate.example/sapphiregate/state/wal"
 )
 
-// TestMain fixes the seed of the property tests, so that every run gives the same verdict.
+// TestMain fixes the seed of the property tests, so that every run draws the same cases.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "1000", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -53,7 +53,7 @@
 	var fake *disk.Fake
 	BeforeEach(func() { fake = disk.NewFake(rand.New(rand.NewSource(1))) })
 
-	// Guards against a member that returns under a new name, or votes twice, after a crash.
+	// Guards against a member that has another identity after a crash, or forgets its vote and votes twice in a term.
 	It("keeps its identity, hard state and entries", func() {
 		log, created := reopen(fake)
 		Expect(created.Identity).To(HaveLen(16))
@@ -68,7 +68,7 @@
 	})
 
 	// Guards against a log that grows without bound, and against entries that contradict an installed snapshot.
-	It("drops what a snapshot covers or contradicts", func() {
+	It("drops entries that a snapshot covers or contradicts", func() {
 		log, _ := reopen(fake)
 		for index := uint64(1); index <= 40; index++ {
 			Expect(log.Append(raft.HardState{Term: 1}, entries(index, 1, 1))).To(Succeed())
@@ -88,7 +88,7 @@
 		Expect(err).To(MatchError(wal.ErrCorrupt), "the snapshot is lost")
 	})
 
-	// Guards against dropping an acknowledged record, or reading a changed one, after any single flipped bit.
+	// Guards against dropping an acknowledged record, or accepting a changed one, after a single flipped bit.
 	It("reports every flipped bit as corruption", func() {
 		log, _ := reopen(fake)
 		Expect(log.Append(raft.HardState{Term: 1}, entries(1, 1, 1))).To(Succeed())
@@ -111,8 +111,8 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// Guards against treating the loss of a whole file as an empty or shorter log. The loss of the newest segment cannot
-	// be detected, since it may never have been created.
+	// Guards against taking a folder with a missing file for an empty or shorter log. The loss of the newest segment
+	// cannot be detected, since it may never have been created.
 	It("reports missing files as corruption", func() {
 		log, _ := reopen(fake)
 		for index := uint64(1); index <= 30; index++ {
@@ -128,7 +128,7 @@
 		}
 	})
 
-	// Guards against acknowledging writes after one whose outcome is unknown.
+	// Guards against acknowledging a write after an earlier one of which it is unknown what is durable.
 	It("refuses writes after a failure", func() {
 		log, _ := reopen(fake)
 		fake.FailSyncs(1)
@@ -144,7 +144,7 @@
 	})
 })
 
-// logModel is the model of a log.
+// logModel is the state that a log should have.
 type logModel struct {
 	hs       raft.HardState
 	snapshot raft.Snapshot
@@ -169,7 +169,8 @@
 	return result
 }
 
-// Guards against losing or inventing state in any sequence of writes, failures and torn crashes.
+// Guards against recovering any other state than the acknowledged one, or that of the write that failed. It draws
+// random sequences of writes, snapshots, failures and crashes with torn writes.
 func TestRecoveredStateIsTheAcknowledgedOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fake := disk.NewFake(rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed"))))
@@ -234,7 +235,7 @@
 		len(a.entries) == len(b.entries) && (len(a.entries) == 0 || reflect.DeepEqual(a.entries, b.entries))
 }
 
-// FuzzRecordReader guards against a reader that panics, reads past the end, or accepts a damaged frame.
+// FuzzRecordReader guards against a scan that panics, reads past the end of the data or accepts a damaged frame.
 func FuzzRecordReader(f *testing.F) {
 	two := wal.AppendFrame(wal.AppendFrame(nil, 0, []byte("first")), 0, bytes.Repeat([]byte("second"), 200))
 	f.Add(two)
