--- a/state/wal/wal_test.go
+++ b/state/wal/wal_test.go
@@ -19,7 +19,7 @@
 	"sapphiregate.example/sapphiregate/state/wal"
 )
 
-// TestMain fixes the seed of the property tests, so that every run gives the same verdict.
+// TestMain fixes the seed of the property tests, so that every run draws the same cases.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "1000", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -53,7 +53,7 @@
 	var fake *disk.Fake
 	BeforeEach(func() { fake = disk.NewFake(rand.New(rand.NewSource(1))) })
 
-	// Guards against a member that returns under a new name, or votes twice, after a crash.
+	// Guards against a member that has another identity after a crash, or forgets its vote and votes twice in a term.
 	It("keeps its identity, hard state and entries", func() {
 		log, created := reopen(fake)
 		Expect(created.Identity).To(HaveLen(16))
@@ -68,7 +68,7 @@
 	})
 
 	// Guards against a log that grows without bound, and against entries that contradict an installed snapshot.
-	It("drops what a snapshot covers or contradicts", func() {
+	It("drops entries that a snapshot covers or contradicts", func() {
 		log, _ := reopen(fake)
 		for index := uint64(1); index <= 40; index++ {
 			Expect(log.Append(raft.HardState{Term: 1}, entries(index, 1, 1))).To(Succeed())
@@ -88,7 +88,7 @@
 		Expect(err).To(MatchError(wal.ErrCorrupt), "the snapshot is lost")
 	})
 
-	// Guards against dropping an acknowledged record, or reading a changed one, after any single flipped bit.
+	// Guards against dropping an acknowledged record, or accepting a changed one, after a single flipped bit.
 	It("reports every flipped bit as corruption", func() {
 		log, _ := reopen(fake)
 		Expect(log.Append(raft.HardState{Term: 1}, entries(1, 1, 1))).To(Succeed())
@@ -111,8 +111,8 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// Guards against treating the loss of a whole file as an empty or shorter log. The loss of the newest segment cannot
-	// be detected, since it may never have been created.
+	// Guards against taking a folder with a missing file for an empty or shorter log. The loss of the newest segment
+	// cannot be detected, since it may never have been created.
 	It("reports missing files as corruption", func() {
 		log, _ := reopen(fake)
 		for index := uint64(1); index <= 30; index++ {
@@ -128,7 +128,7 @@
 		}
 	})
 
-	// Guards against acknowledging writes after one whose outcome is unknown.
+	// Guards against acknowledging a write after an earlier one of which it is unknown what is durable.
 	It("refuses writes after a failure", func() {
 		log, _ := reopen(fake)
 		fake.FailSyncs(1)
@@ -144,32 +144,33 @@
 	})
 })
 
-// state is the model of a log.
-type state struct {
+// logModel is the state that a log should have.
+type logModel struct {
 	hs       raft.HardState
 	snapshot raft.Snapshot
 	entries  []raft.Entry
 }
 
-func (s state) last() uint64 { return s.snapshot.Index + uint64(len(s.entries)) }
+func (s logModel) last() uint64 { return s.snapshot.Index + uint64(len(s.entries)) }
 
-func (s state) append(hs raft.HardState, added []raft.Entry) state {
+func (s logModel) append(hs raft.HardState, added []raft.Entry) logModel {
 	kept := s.entries
 	if len(added) > 0 {
 		kept = kept[:added[0].Index-s.snapshot.Index-1]
 	}
-	return state{hs, s.snapshot, append(append([]raft.Entry(nil), kept...), added...)}
+	return logModel{hs, s.snapshot, append(append([]raft.Entry(nil), kept...), added...)}
 }
 
-func (s state) save(snapshot raft.Snapshot) state {
-	result := state{hs: s.hs, snapshot: snapshot}
+func (s logModel) save(snapshot raft.Snapshot) logModel {
+	result := logModel{hs: s.hs, snapshot: snapshot}
 	if at := snapshot.Index - s.snapshot.Index; at <= uint64(len(s.entries)) && s.entries[at-1].Term == snapshot.Term {
 		result.entries = s.entries[at:]
 	}
 	return result
 }
 
-// Guards against losing or inventing state in any sequence of writes, failures and torn crashes.
+// Guards against recovering any other state than the acknowledged one, or that of the write that failed. It draws
+// random sequences of writes, snapshots, failures and crashes with torn writes.
 func TestRecoveredStateIsTheAcknowledgedOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fake := disk.NewFake(rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed"))))
@@ -179,7 +180,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var acked, attempted state
+		var acknowledged, attempted logModel
 		term := uint64(1)
 		steps := rapid.IntRange(1, 40).Draw(t, "steps")
 		for step := range steps {
@@ -188,20 +189,20 @@
 				rapid.SampledFrom([]func(int){fake.FailSyncs, fake.FailWrites}).Draw(t, "kind")(1)
 			}
 			if rapid.IntRange(0, 3).Draw(t, "operation") == 0 {
-				index := acked.snapshot.Index + uint64(rapid.IntRange(1, 8).Draw(t, "index"))
+				index := acknowledged.snapshot.Index + uint64(rapid.IntRange(1, 8).Draw(t, "index"))
 				snapshot := raft.Snapshot{Index: index, Term: term - uint64(rapid.IntRange(0, 1).Draw(t, "old"))}
-				attempted = acked.save(snapshot)
+				attempted = acknowledged.save(snapshot)
 				err = log.SaveSnapshot(snapshot)
 			} else {
 				hs := raft.HardState{Term: term, Vote: raft.MemberID(fmt.Sprint(step))}
-				back := rapid.Uint64Range(0, uint64(len(acked.entries))).Draw(t, "back")
-				added := entries(acked.last()-back+1, rapid.Uint64Range(0, 4).Draw(t, "count"), term)
-				attempted = acked.append(hs, added)
+				back := rapid.Uint64Range(0, uint64(len(acknowledged.entries))).Draw(t, "back")
+				added := entries(acknowledged.last()-back+1, rapid.Uint64Range(0, 4).Draw(t, "count"), term)
+				attempted = acknowledged.append(hs, added)
 				err = log.Append(hs, added)
 			}
 			crash := rapid.IntRange(0, 5).Draw(t, "crash") == 0
 			if err == nil {
-				acked = attempted
+				acknowledged = attempted
 			}
 			if err == nil && !crash {
 				continue
@@ -214,27 +215,27 @@
 			if got.Identity != recovered.Identity {
 				t.Fatalf("identity %q, then %q", recovered.Identity, got.Identity)
 			}
-			found := state{got.HardState, got.Snapshot, got.Entries}
+			found := logModel{got.HardState, got.Snapshot, got.Entries}
 			switch {
-			case same(found, acked):
-			case same(found, attempted):
-				acked = attempted
+			case equalStates(found, acknowledged):
+			case equalStates(found, attempted):
+				acknowledged = attempted
 			default:
-				t.Fatalf("step %d: recovered %v\nacknowledged %v\nattempted %v", step, found, acked, attempted)
+				t.Fatalf("step %d: recovered %v\nacknowledged %v\nattempted %v", step, found, acknowledged, attempted)
 			}
 			fake.SetTornWrites(true)
 		}
 	})
 }
 
-func same(a, b state) bool {
+func equalStates(a, b logModel) bool {
 	// A snapshot implies that its entries are committed.
 	a.hs.Commit, b.hs.Commit = max(a.hs.Commit, a.snapshot.Index), max(b.hs.Commit, b.snapshot.Index)
 	return a.hs == b.hs && a.snapshot.Index == b.snapshot.Index && a.snapshot.Term == b.snapshot.Term &&
 		len(a.entries) == len(b.entries) && (len(a.entries) == 0 || reflect.DeepEqual(a.entries, b.entries))
 }
 
-// FuzzRecordReader guards against a reader that panics, reads past the end, or accepts a damaged frame.
+// FuzzRecordReader guards against a scan that panics, reads past the end of the data or accepts a damaged frame.
 func FuzzRecordReader(f *testing.F) {
 	two := wal.AppendFrame(wal.AppendFrame(nil, 0, []byte("first")), 0, bytes.Repeat([]byte("second"), 200))
 	f.Add(two)
