--- a/control/automembership.go
+++ b/control/automembership.go
@@ -60,11 +60,11 @@
 	err := m.host.Query(ctx, func(now time.Time) {
 		r := m.replicas[registryGroup]
 		status := r.raft.Status()
-		_, reply.Member = status.Membership.Find(raft.MemberID(request.ID))
+		_, reply.IsMember = status.Membership.Find(raft.MemberID(request.ID))
 		age, confirmed := r.raft.ConfirmedAge(now)
-		reply.Leads = status.Role == raft.RoleLeader && !status.MembershipPending && confirmed && age < maxLeaderConfirmationAge
+		reply.IsLeader = status.Role == raft.RoleLeader && !status.MembershipPending && confirmed && age < maxLeaderConfirmationAge
 		reply.Members = memberAddresses(status)
-		if !reply.Member {
+		if !reply.IsMember {
 			m.candidates.Announce(membership.Candidate{
 				ID: raft.MemberID(request.ID), Address: request.Address, Zone: request.Zone, LastSeen: now,
 			})
@@ -123,11 +123,11 @@
 		if err != nil {
 			continue
 		}
-		if reply.Leads && !reply.Member && listed {
+		if reply.IsLeader && !reply.IsMember && listed {
 			m.discardState()
 			return nil
 		}
-		if reply.Leads {
+		if reply.IsLeader {
 			return reply.Members
 		}
 		members = append(members, reply.Members...)
--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -88,8 +88,8 @@
 				continue
 			}
 			reported := reply.Groups[r.group]
-			if reported.Formed && reported.Founding != nil {
-				return *reported.Founding, false, true
+			if reported.Formed && reported.InitialMembership != nil {
+				return *reported.InitialMembership, false, true
 			}
 			exists = exists || reported.Formed
 			id = raft.MemberID(reported.ID)
@@ -126,7 +126,7 @@
 	for _, r := range m.replicas {
 		identity := protocol.GroupIdentity{ID: string(r.id), Formed: m.formedGroups[r.group]}
 		if founding, ok := m.founding[r.group]; ok {
-			identity.Founding = &founding
+			identity.InitialMembership = &founding
 		}
 		reply.Groups = append(reply.Groups, identity)
 	}
--- a/control/membership.go
+++ b/control/membership.go
@@ -53,15 +53,15 @@
 }
 
 // AddMember adds a learner to all groups and promotes it once it has caught up.
-func (b operatorBackend) AddMember(ctx context.Context, r operator.AddMemberRequest) (operator.MembersAnswer, error) {
+func (b operatorBackend) AddMember(ctx context.Context, r operator.AddMemberRequest) (operator.MembersResponse, error) {
 	if err := b.addMember(ctx, r.ID, r.Address, r.Zone, r.Learner); err != nil {
-		return operator.MembersAnswer{}, err
+		return operator.MembersResponse{}, err
 	}
 	return b.Members(ctx)
 }
 
 // RemoveMember removes a member from all groups.
-func (b operatorBackend) RemoveMember(ctx context.Context, r operator.RemoveMemberRequest) (operator.MembersAnswer, error) {
+func (b operatorBackend) RemoveMember(ctx context.Context, r operator.RemoveMemberRequest) (operator.MembersResponse, error) {
 	members, err := b.Members(ctx)
 	if err != nil {
 		return members, err
@@ -80,7 +80,7 @@
 	// can be sent again.
 	for group := len(b.member.replicas) - 1; group >= 0; group-- {
 		if err := b.removeFromGroup(ctx, uint32(group), address); err != nil {
-			return operator.MembersAnswer{}, err
+			return operator.MembersResponse{}, err
 		}
 	}
 	return b.Members(ctx)
@@ -88,9 +88,9 @@
 
 // ReplaceMember adds a member and removes the old one only once the new one has durably stored everything that is
 // committed. A second failure right after the repair therefore loses nothing.
-func (b operatorBackend) ReplaceMember(ctx context.Context, r operator.ReplaceMemberRequest) (operator.MembersAnswer, error) {
+func (b operatorBackend) ReplaceMember(ctx context.Context, r operator.ReplaceMemberRequest) (operator.MembersResponse, error) {
 	if err := b.addMember(ctx, r.New, r.Address, r.Zone, false); err != nil {
-		return operator.MembersAnswer{}, err
+		return operator.MembersResponse{}, err
 	}
 	return b.RemoveMember(ctx, operator.RemoveMemberRequest{RequestID: r.RequestID, ID: r.Old})
 }
--- a/control/operatorapi.go
+++ b/control/operatorapi.go
@@ -87,7 +87,7 @@
 		if err := protocol.Unmarshal(reply.Result, &result); err != nil {
 			return operator.Decision{}, err
 		}
-		return operator.FromResult(result)
+		return operator.DecisionFromResult(result)
 	case protocol.ProposeNotLeader:
 		return operator.Decision{}, b.notLeader(ctx, reply.Leader)
 	case protocol.ProposeUncertain:
@@ -131,7 +131,7 @@
 		status.Latest = state.Latest
 		status.Staged = m.registry.registry.Staged()
 		status.Zones = zoneStatuses(m.peer.Zones(), state)
-		status.Rollout = operator.RolloutOfAll(latestVersion(state), state.Stopped, status.Zones)
+		status.Rollout = operator.MeshRollout(latestVersion(state), state.Stopped, status.Zones)
 	})
 	if !operator.Fresh(status.ConfirmedAgeMs) {
 		// A member that is cut off does not know the current state.
@@ -155,7 +155,7 @@
 			zone.Lagging = append(zone.Lagging,
 				operator.LaggingProxy{ID: lag.ID, Version: lag.Version, Reason: lag.Reason})
 		}
-		zone.Rollout = operator.RolloutOf(latestVersion(state), state.Stopped, zone)
+		zone.Rollout = operator.ZoneRollout(latestVersion(state), state.Stopped, zone)
 		zones = append(zones, zone)
 	}
 	slices.SortFunc(zones, func(a, b operator.ZoneStatus) int { return cmp.Compare(a.Zone, b.Zone) })
@@ -170,33 +170,33 @@
 }
 
 // History lists the decisions of operators, newest first.
-func (b operatorBackend) History(ctx context.Context, r operator.HistoryRequest) (operator.HistoryAnswer, error) {
+func (b operatorBackend) History(ctx context.Context, r operator.HistoryRequest) (operator.HistoryResponse, error) {
 	limit := r.Limit
 	if limit <= 0 {
 		limit = operator.DefaultHistoryLimit
 	}
-	var answer operator.HistoryAnswer
+	var answer operator.HistoryResponse
 	err := b.query(ctx, func(time.Time) {
-		answer.Records = operator.NewestFirst(b.member.registry.registry.History(), limit)
+		answer.Records = operator.NewestRecords(b.member.registry.registry.History(), limit)
 	})
 	return answer, err
 }
 
 // Members lists the control members. A follower refers to the leader, if the leader responds.
-func (b operatorBackend) Members(ctx context.Context) (operator.MembersAnswer, error) {
+func (b operatorBackend) Members(ctx context.Context) (operator.MembersResponse, error) {
 	var status raft.Status
 	if err := b.query(ctx, func(time.Time) { status = b.member.replicas[registryGroup].raft.Status() }); err != nil {
-		return operator.MembersAnswer{}, err
+		return operator.MembersResponse{}, err
 	}
 	if status.Role != raft.RoleLeader {
 		// Only the leader knows the progress of the others. Without a leader, this member lists the membership alone.
 		if leader, ok := status.Membership.Find(status.Leader); ok {
 			if reply, err := b.member.identify(ctx, leader.Address); err == nil {
-				return operator.MembersAnswer{}, &operator.Error{Kind: operator.ErrNotLeader, Leader: reply.Admin}
+				return operator.MembersResponse{}, &operator.Error{Kind: operator.ErrNotLeader, Leader: reply.Admin}
 			}
 		}
 	}
-	answer := operator.MembersAnswer{Term: status.Term, Commit: status.Commit}
+	answer := operator.MembersResponse{Term: status.Term, Commit: status.Commit}
 	for _, member := range status.Membership.Members {
 		described := operator.Member{
 			ID: string(member.ID), Address: member.Address, Zone: member.Zone, Learner: member.Learner,
@@ -221,12 +221,12 @@
 }
 
 // Quarantine lists the requests that crashed upstreams, with the verdict on each.
-func (b operatorBackend) Quarantine(ctx context.Context) (operator.QuarantineAnswer, error) {
+func (b operatorBackend) Quarantine(ctx context.Context) (operator.QuarantineResponse, error) {
 	if err := b.member.waitRunning(ctx); err != nil {
-		return operator.QuarantineAnswer{}, &operator.Error{Kind: operator.ErrNoQuorum, Message: err.Error()}
+		return operator.QuarantineResponse{}, &operator.Error{Kind: operator.ErrNoQuorum, Message: err.Error()}
 	}
 	now := time.Now()
-	answer := operator.QuarantineAnswer{Entries: []operator.QuarantineEntry{}}
+	answer := operator.QuarantineResponse{Entries: []operator.QuarantineEntry{}}
 	for _, entry := range b.member.quarantine.Entries(now) {
 		answer.Entries = append(answer.Entries, operator.QuarantineEntry{
 			Fingerprint: hex.EncodeToString(entry.Fingerprint[:]), Verdict: verdictNames[entry.Verdict],
@@ -239,15 +239,15 @@
 // ClearQuarantine lifts the quarantine of fingerprints, or of all.
 func (b operatorBackend) ClearQuarantine(
 	ctx context.Context, r operator.ClearQuarantineRequest,
-) (operator.ClearQuarantineAnswer, error) {
+) (operator.ClearQuarantineResponse, error) {
 	if err := b.member.waitRunning(ctx); err != nil {
-		return operator.ClearQuarantineAnswer{}, &operator.Error{Kind: operator.ErrNoQuorum, Message: err.Error()}
+		return operator.ClearQuarantineResponse{}, &operator.Error{Kind: operator.ErrNoQuorum, Message: err.Error()}
 	}
 	var fingerprints []quarantine.Fingerprint
 	for _, text := range r.Fingerprints {
 		raw, err := hex.DecodeString(text)
 		if err != nil || len(raw) != len(quarantine.Fingerprint{}) {
-			return operator.ClearQuarantineAnswer{}, &operator.Error{
+			return operator.ClearQuarantineResponse{}, &operator.Error{
 				Kind: operator.ErrBadRequest, Message: "a fingerprint must have 32 hexadecimal digits",
 			}
 		}
@@ -259,15 +259,15 @@
 	if changed {
 		b.member.publishReport(report)
 	}
-	return operator.ClearQuarantineAnswer{Cleared: before - len(b.member.quarantine.Entries(now))}, nil
+	return operator.ClearQuarantineResponse{Cleared: before - len(b.member.quarantine.Entries(now))}, nil
 }
 
 // Dump returns the state dump of the member.
-func (b operatorBackend) Dump(ctx context.Context) (operator.DumpAnswer, error) {
+func (b operatorBackend) Dump(ctx context.Context) (operator.DumpResponse, error) {
 	dump, err := b.member.dump(ctx)
 	if err != nil {
-		return operator.DumpAnswer{}, err
+		return operator.DumpResponse{}, err
 	}
 	state, err := json.Marshal(dump)
-	return operator.DumpAnswer{Member: b.member.ID(), State: state}, err
+	return operator.DumpResponse{Member: b.member.ID(), State: state}, err
 }
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -51,7 +51,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.index++
-	return operator.FromResult(m.registry.Apply(m.index, c))
+	return operator.DecisionFromResult(m.registry.Apply(m.index, c))
 }
 
 func (m *member) Stage(_ context.Context, r operator.StageRequest) (operator.Decision, error) {
@@ -96,29 +96,29 @@
 	return status, nil
 }
 
-func (m *member) History(context.Context, operator.HistoryRequest) (operator.HistoryAnswer, error) {
-	return operator.HistoryAnswer{Records: m.registry.History()}, nil
+func (m *member) History(context.Context, operator.HistoryRequest) (operator.HistoryResponse, error) {
+	return operator.HistoryResponse{Records: m.registry.History()}, nil
 }
 
-func (m *member) Members(context.Context) (operator.MembersAnswer, error) {
-	return operator.MembersAnswer{Term: 3, Members: []operator.Member{{ID: "old", Zone: "luzon-b", Learner: true}}}, nil
+func (m *member) Members(context.Context) (operator.MembersResponse, error) {
+	return operator.MembersResponse{Term: 3, Members: []operator.Member{{ID: "old", Zone: "luzon-b", Learner: true}}}, nil
 }
 
-func (m *member) ReplaceMember(ctx context.Context, r operator.ReplaceMemberRequest) (operator.MembersAnswer, error) {
+func (m *member) ReplaceMember(ctx context.Context, r operator.ReplaceMemberRequest) (operator.MembersResponse, error) {
 	m.replaced = r
 	return m.Members(ctx)
 }
 
-func (m *member) Quarantine(context.Context) (operator.QuarantineAnswer, error) {
-	return operator.QuarantineAnswer{Entries: []operator.QuarantineEntry{{Fingerprint: "ab\x1b[2J", Crashes: 2}}}, nil
+func (m *member) Quarantine(context.Context) (operator.QuarantineResponse, error) {
+	return operator.QuarantineResponse{Entries: []operator.QuarantineEntry{{Fingerprint: "ab\x1b[2J", Crashes: 2}}}, nil
 }
 
-func (m *member) ClearQuarantine(_ context.Context, r operator.ClearQuarantineRequest) (operator.ClearQuarantineAnswer, error) {
-	return operator.ClearQuarantineAnswer{Cleared: len(r.Fingerprints)}, nil
+func (m *member) ClearQuarantine(_ context.Context, r operator.ClearQuarantineRequest) (operator.ClearQuarantineResponse, error) {
+	return operator.ClearQuarantineResponse{Cleared: len(r.Fingerprints)}, nil
 }
 
-func (m *member) Dump(context.Context) (operator.DumpAnswer, error) {
-	return operator.DumpAnswer{Member: "m1", State: json.RawMessage(`{"term":3}`)}, nil
+func (m *member) Dump(context.Context) (operator.DumpResponse, error) {
+	return operator.DumpResponse{Member: "m1", State: json.RawMessage(`{"term":3}`)}, nil
 }
 
 // zone returns the figures of a zone with 4 proxies, of which some have version 2 and the others version 1.
--- a/ctl/show.go
+++ b/ctl/show.go
@@ -213,7 +213,7 @@
 // memberChange runs a request on the members and prints the resulting membership. The deadline is that of a wait, as a
 // learner has to catch up before it is promoted.
 func (a *app) memberChange(
-	c *cobra.Command, call func(c *cobra.Command, api *operator.Client) (operator.MembersAnswer, error),
+	c *cobra.Command, call func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error),
 ) error {
 	client, err := a.client()
 	if err != nil {
@@ -226,7 +226,7 @@
 	return a.print(c, answer, func(w io.Writer) { printMembers(w, answer) })
 }
 
-func printMembers(w io.Writer, answer operator.MembersAnswer) {
+func printMembers(w io.Writer, answer operator.MembersResponse) {
 	fmt.Fprintf(w, "term %d, commit index %d\n", answer.Term, answer.Commit)
 	fmt.Fprintln(w, "ID\tZONE\tADDRESS\tROLE\tSTORED INDEX\tLAST CONTACT")
 	for _, m := range answer.Members {
@@ -251,7 +251,7 @@
 		Short: "List the control members",
 		Args:  exactly(0),
 		RunE: func(c *cobra.Command, _ []string) error {
-			return a.memberChange(c, func(c *cobra.Command, api *operator.Client) (operator.MembersAnswer, error) {
+			return a.memberChange(c, func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error) {
 				ctx, cancel := a.deadline(c)
 				defer cancel()
 				return api.Members(ctx)
@@ -267,7 +267,7 @@
 		Short: "Add a member; it votes once it has caught up",
 		Args:  exactly(3),
 		RunE: func(c *cobra.Command, args []string) error {
-			return a.memberChange(c, func(c *cobra.Command, api *operator.Client) (operator.MembersAnswer, error) {
+			return a.memberChange(c, func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error) {
 				ctx, cancel := a.waitDeadline(c)
 				defer cancel()
 				return api.AddMember(ctx,
@@ -285,7 +285,7 @@
 		Short: "Remove a member",
 		Args:  exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return a.memberChange(c, func(c *cobra.Command, api *operator.Client) (operator.MembersAnswer, error) {
+			return a.memberChange(c, func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error) {
 				ctx, cancel := a.waitDeadline(c)
 				defer cancel()
 				return api.RemoveMember(ctx, operator.RemoveMemberRequest{ID: args[0]})
@@ -305,7 +305,7 @@
 			if request.Address == "" {
 				return usage("--address is not set")
 			}
-			return a.memberChange(c, func(c *cobra.Command, api *operator.Client) (operator.MembersAnswer, error) {
+			return a.memberChange(c, func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error) {
 				return a.replaceMember(c, api, request)
 			})
 		},
@@ -317,7 +317,7 @@
 
 func (a *app) replaceMember(
 	c *cobra.Command, api *operator.Client, request operator.ReplaceMemberRequest,
-) (operator.MembersAnswer, error) {
+) (operator.MembersResponse, error) {
 	ctx, cancel := a.waitDeadline(c)
 	defer cancel()
 	if request.Zone != "" {
--- a/daemon/check.go
+++ b/daemon/check.go
@@ -225,7 +225,7 @@
 	outgoing.Header.Set(standin.HeaderAttempt, uuid.NewString())
 	outgoing.Header.Set(standin.HeaderClass, string(route.Class))
 	if key != "" {
-		outgoing.Header.Set(protocol.HeaderKey, key)
+		outgoing.Header.Set(protocol.HeaderIdempotencyKey, key)
 	}
 	response, err := http.DefaultClient.Do(outgoing)
 	if err != nil {
--- a/local/naive/call.go
+++ b/local/naive/call.go
@@ -187,7 +187,7 @@
 		header[name] = values
 	}
 	header.Set(protocol.HeaderOutcome, string(protocol.OutcomeDone))
-	header.Set(protocol.HeaderAdded, strconv.FormatInt(max(added, 0).Microseconds(), 10))
+	header.Set(protocol.HeaderAddedTime, strconv.FormatInt(max(added, 0).Microseconds(), 10))
 	w.WriteHeader(received.status)
 	// A caller that went away needs no answer.
 	_, _ = w.Write(received.body)
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -65,7 +65,7 @@
 		check(b, err)
 		_, _ = io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
-		micros, err := strconv.ParseInt(response.Header.Get(protocol.HeaderAdded), 10, 64)
+		micros, err := strconv.ParseInt(response.Header.Get(protocol.HeaderAddedTime), 10, 64)
 		check(b, err)
 		check(b, added.RecordValue(max(micros, 1)))
 	}
--- a/node/forwarding.go
+++ b/node/forwarding.go
@@ -183,7 +183,7 @@
 func isFinal(reason protocol.Reason) bool {
 	switch reason {
 	case protocol.ReasonQuarantined, protocol.ReasonKeyReused, protocol.ReasonKeyExpired, protocol.ReasonCallerGone,
-		protocol.ReasonTooLarge, protocol.ReasonInProgress, protocol.ReasonLedger:
+		protocol.ReasonTooLarge, protocol.ReasonInProgress, protocol.ReasonLedgerUnavailable:
 		return true
 	default:
 		return false
--- a/node/ingress.go
+++ b/node/ingress.go
@@ -143,7 +143,7 @@
 	}
 	c.metadata = protocol.CallMetadata{
 		Service: c.policy.split.Next(), Route: c.route.Name, Class: c.route.Class, Method: r.Method, URI: requestURI(r),
-		Host: r.Host, Header: protocol.Fields(header), Depth: depth,
+		Host: r.Host, Header: protocol.HeaderFields(header), Depth: depth,
 		Retry:         dialect.Retry != "" && r.Header.Get(dialect.Retry) != "",
 		ContentLength: r.ContentLength, Version: c.snapshot.version, Priority: c.route.Priority,
 		RequestID: r.Header.Get(dialect.RequestID),
@@ -151,7 +151,7 @@
 	if c.route.Class != bundle.ClassIrreversible || c.route.Keyless {
 		return protocol.ReasonNone
 	}
-	c.metadata.Key = r.Header.Get(protocol.HeaderKey)
+	c.metadata.Key = r.Header.Get(protocol.HeaderIdempotencyKey)
 	if c.metadata.Key == "" || len(c.metadata.Key) > maxKeyBytes {
 		return protocol.ReasonKeyMissing
 	}
@@ -289,7 +289,7 @@
 	if c.limitedBody != nil && c.limitedBody.exceeded.Load() && reply.metadata.Outcome != protocol.OutcomeDone {
 		reply.metadata.Reason = protocol.ReasonTooLarge
 	}
-	externalTime := reply.metadata.Upstream
+	externalTime := reply.metadata.UpstreamTime
 	if target.ID != c.node.id {
 		externalTime += 2 * c.node.options.zoneDelay(target.Zone)
 	}
@@ -309,7 +309,7 @@
 // balancerReport describes the result of an attempt to the balancer.
 func (c *ingressCall) balancerReport(ctx context.Context, reply *callReply, elapsed time.Duration) balance.Report {
 	report := balance.Report{
-		Outcome: balance.Completed, Latency: elapsed, Route: c.route.Name, ServiceTime: reply.metadata.Upstream,
+		Outcome: balance.Completed, Latency: elapsed, Route: c.route.Name, ServiceTime: reply.metadata.UpstreamTime,
 	}
 	if load := reply.metadata.Load; load.Slots > 0 {
 		reported := balanceLoad(load)
--- a/node/irreversible.go
+++ b/node/irreversible.go
@@ -291,7 +291,7 @@
 		return c.stateMachine.UpstreamFailed
 	}
 	defer response.Response.Body.Close()
-	if !c.executor.dialect.Genuine(request.Header, response.Response.Header, response.Response.StatusCode) {
+	if !c.executor.dialect.ValidResponse(request.Header, response.Response.Header, response.Response.StatusCode) {
 		response.Discard()
 		return c.stateMachine.UpstreamFailed
 	}
@@ -325,10 +325,10 @@
 var executionReasons = map[execution.Reason]protocol.Reason{
 	execution.ReasonNone:       protocol.ReasonNone,
 	execution.ReasonDeadline:   protocol.ReasonDeadline,
-	execution.ReasonLedger:     protocol.ReasonLedger,
+	execution.ReasonLedger:     protocol.ReasonLedgerUnavailable,
 	execution.ReasonKeyReused:  protocol.ReasonKeyReused,
 	execution.ReasonKeyExpired: protocol.ReasonKeyExpired,
-	execution.ReasonLedgerFull: protocol.ReasonLedger,
+	execution.ReasonLedgerFull: protocol.ReasonLedgerUnavailable,
 	execution.ReasonReleased:   protocol.ReasonShed,
 	execution.ReasonClaimed:    protocol.ReasonInProgress,
 	execution.ReasonUpstream:   protocol.ReasonUpstreamFailed,
@@ -359,7 +359,7 @@
 func recordedReply(recorded *ledger.Response) *callReply {
 	if recorded.Dropped {
 		return &callReply{metadata: protocol.ReplyMetadata{
-			Outcome: protocol.OutcomeDone, Reason: protocol.ReasonAnswerDropped, Status: http.StatusGone,
+			Outcome: protocol.OutcomeDone, Reason: protocol.ReasonResponseNotKept, Status: http.StatusGone,
 		}}
 	}
 	return &callReply{
--- a/node/irreversible_test.go
+++ b/node/irreversible_test.go
@@ -40,7 +40,7 @@
 	return g
 }
 
-const keyHeader = protocol.HeaderKey
+const keyHeader = protocol.HeaderIdempotencyKey
 
 var _ = Describe("irreversible calls", func() {
 	for _, remote := range []bool{false, true} {
--- a/node/keyless_test.go
+++ b/node/keyless_test.go
@@ -19,7 +19,7 @@
 
 // customDialect names other header fields than the default dialect, and has upstreams echo a request ID and a proof.
 var customDialect = protocol.Dialect{
-	Deadline: "X-Left-Ms", RequestID: "X-Request", CallerService: "X-From", ExpectUpstream: "X-For", Proof: "X-Proof",
+	Deadline: "X-Left-Ms", RequestID: "X-Request", CallerService: "X-From", ExpectUpstream: "X-For", SuccessMarker: "X-Proof",
 	NotRun: "X-Not-Run", FractionalRetryAfter: true,
 }
 
--- a/node/request_log.go
+++ b/node/request_log.go
@@ -153,7 +153,7 @@
 	event.Str("route", meta.Route).Str("service", meta.Service).
 		Str("outcome", string(reply.metadata.Outcome)).Str("reason", string(reply.metadata.Reason)).
 		Int("upstream_status", reply.metadata.Status).Int64("waited_ms", waited.Milliseconds()).
-		Int64("upstream_ms", reply.metadata.Upstream.Milliseconds()).Int64("given_ms", meta.Remaining.Milliseconds()).
+		Int64("upstream_ms", reply.metadata.UpstreamTime.Milliseconds()).Int64("given_ms", meta.Remaining.Milliseconds()).
 		Int64("patience_ms", meta.TargetRemaining.Milliseconds()).Int("priority", meta.Priority).Uint64("version", meta.Version).
 		Int("slots", load.Slots).Int("running", load.InFlight).Int("waiting", load.Queued).
 		Msg(message)
--- a/node/response.go
+++ b/node/response.go
@@ -37,20 +37,20 @@
 
 // reasonTexts explains reasons to callers and says what they can do.
 var reasonTexts = map[protocol.Reason]string{
-	protocol.ReasonNoRoute:     "no route of the configuration in force matches this request",
-	protocol.ReasonNotReady:    "this node has no configuration yet; try another node",
-	protocol.ReasonNoUpstream:  "no upstream of the service takes calls; try again later",
-	protocol.ReasonShed:        "the upstreams are full; try again later",
-	protocol.ReasonCallLimit:   "the route's call limit is reached; try again later",
-	protocol.ReasonDeadline:    "the deadline passed",
-	protocol.ReasonQuarantined: "this request crashed upstreams; ask the operators to clear it",
-	protocol.ReasonKeyMissing:  "this route needs an Idempotency-Key of 1 to 256 bytes; a UUIDv7 is best",
-	protocol.ReasonKeyReused:   "the Idempotency-Key belongs to a different request; use a new key",
-	protocol.ReasonKeyExpired:  "the Idempotency-Key is too old to prove that the request was not run; use a new key",
-	protocol.ReasonInProgress:  "an earlier request with this key has no recorded answer; ask again at the outcome URL",
-	protocol.ReasonLedger:      "the control members cannot be reached; try again later with the same key",
-	protocol.ReasonTooLarge:    "the request body is larger than the route allows",
-	protocol.ReasonTooDeep:     "the chain of calls is too deep",
+	protocol.ReasonNoRoute:           "no route of the configuration in force matches this request",
+	protocol.ReasonNotReady:          "this node has no configuration yet; try another node",
+	protocol.ReasonNoUpstream:        "no upstream of the service takes calls; try again later",
+	protocol.ReasonShed:              "the upstreams are full; try again later",
+	protocol.ReasonCallLimit:         "the route's call limit is reached; try again later",
+	protocol.ReasonDeadline:          "the deadline passed",
+	protocol.ReasonQuarantined:       "this request crashed upstreams; ask the operators to clear it",
+	protocol.ReasonKeyMissing:        "this route needs an Idempotency-Key of 1 to 256 bytes; a UUIDv7 is best",
+	protocol.ReasonKeyReused:         "the Idempotency-Key belongs to a different request; use a new key",
+	protocol.ReasonKeyExpired:        "the Idempotency-Key is too old to prove that the request was not run; use a new key",
+	protocol.ReasonInProgress:        "an earlier request with this key has no recorded answer; ask again at the outcome URL",
+	protocol.ReasonLedgerUnavailable: "the control members cannot be reached; try again later with the same key",
+	protocol.ReasonTooLarge:          "the request body is larger than the route allows",
+	protocol.ReasonTooDeep:           "the chain of calls is too deep",
 }
 
 // refuse responds to a request that this node did not admit. A request with an idempotency key may have run at an
@@ -58,7 +58,7 @@
 func (n *Node) refuse(w http.ResponseWriter, r *http.Request, reason protocol.Reason) {
 	n.metrics.refusedRequests.WithLabelValues(string(reason)).Inc()
 	n.requestLog.requestRefused(r, n, reason)
-	key := r.Header.Get(protocol.HeaderKey)
+	key := r.Header.Get(protocol.HeaderIdempotencyKey)
 	if key == "" || len(key) > maxKeyBytes {
 		n.writeOutcome(w, protocol.OutcomeNotRun, reason, refusalStatusCode(reason), protocol.LoadReport{})
 		return
@@ -94,7 +94,7 @@
 	defer cancel()
 	result, err := n.executor.ledger.commit(ctx, query.Key, ledger.Command{Query: &query})
 	if err != nil {
-		return unknownReply(protocol.ReasonLedger)
+		return unknownReply(protocol.ReasonLedgerUnavailable)
 	}
 	switch result.Status {
 	case ledger.Absent, ledger.Released:
@@ -127,7 +127,7 @@
 	w http.ResponseWriter, outcome protocol.Outcome, reason protocol.Reason, status int, load protocol.LoadReport,
 ) {
 	header := w.Header()
-	if n.options.Dialect.Verdicts {
+	if n.options.Dialect.OutcomeHeaders {
 		header.Set(protocol.HeaderOutcome, string(outcome))
 		header.Set(protocol.HeaderReason, string(reason))
 	}
@@ -172,7 +172,7 @@
 // writeReply writes the reply to the caller.
 func (c *ingressCall) writeReply(w http.ResponseWriter, reply *callReply) {
 	header := w.Header()
-	if c.node.options.Dialect.Verdicts {
+	if c.node.options.Dialect.OutcomeHeaders {
 		header.Set(protocol.HeaderVersion, strconv.FormatUint(c.snapshot.version, 10))
 	}
 	switch reply.metadata.Outcome {
@@ -198,7 +198,7 @@
 	switch reason {
 	case protocol.ReasonDeadline:
 		return http.StatusGatewayTimeout
-	case protocol.ReasonLedger:
+	case protocol.ReasonLedgerUnavailable:
 		return http.StatusServiceUnavailable
 	case protocol.ReasonKeyExpired:
 		return http.StatusBadRequest
@@ -220,12 +220,12 @@
 	}
 	added := max(time.Since(c.started)-c.externalTime, 0)
 	c.node.metrics.observeAdded(added)
-	if c.node.options.Dialect.Verdicts {
+	if c.node.options.Dialect.OutcomeHeaders {
 		header.Set(protocol.HeaderOutcome, string(protocol.OutcomeDone))
 		if reply.metadata.Reason != protocol.ReasonNone {
 			header.Set(protocol.HeaderReason, string(reply.metadata.Reason))
 		}
-		header.Set(protocol.HeaderAdded, strconv.FormatInt(added.Microseconds(), 10))
+		header.Set(protocol.HeaderAddedTime, strconv.FormatInt(added.Microseconds(), 10))
 	}
 	if reply.metadata.ContentLength >= 0 && len(reply.trailer) == 0 && bodyAllowed(c.metadata.Method, reply.metadata.Status) {
 		header.Set("Content-Length", strconv.FormatInt(reply.metadata.ContentLength, 10))
@@ -292,7 +292,7 @@
 		set(e.dialect.Retry, "1")
 	}
 	if meta.Key != "" {
-		header.Set(protocol.HeaderKey, meta.Key)
+		header.Set(protocol.HeaderIdempotencyKey, meta.Key)
 	}
 }
 
@@ -308,7 +308,7 @@
 	result, err := n.executor.ledger.commit(ctx, key, ledger.Command{Query: &ledger.Query{Key: key}})
 	switch {
 	case err != nil:
-		n.writeOutcome(w, protocol.OutcomeUnknown, protocol.ReasonLedger, http.StatusServiceUnavailable, protocol.LoadReport{})
+		n.writeOutcome(w, protocol.OutcomeUnknown, protocol.ReasonLedgerUnavailable, http.StatusServiceUnavailable, protocol.LoadReport{})
 	case result.Status == ledger.Done:
 		writeRecordedResponse(w, recordedReply(result.Response))
 	case result.Status == ledger.Released:
--- a/node/run.go
+++ b/node/run.go
@@ -37,10 +37,10 @@
 	switch {
 	case reply.metadata.Outcome == protocol.OutcomeNotRun:
 		e.metrics.refusedCalls.WithLabelValues(string(reply.metadata.Reason)).Inc()
-	case reply.metadata.Upstream > 0:
-		e.metrics.upstreamTime.Observe(reply.metadata.Upstream.Seconds())
+	case reply.metadata.UpstreamTime > 0:
+		e.metrics.upstreamTime.Observe(reply.metadata.UpstreamTime.Seconds())
 	}
-	e.requestLog.callEnded(meta, reply, time.Since(receivedAt)-reply.metadata.Upstream)
+	e.requestLog.callEnded(meta, reply, time.Since(receivedAt)-reply.metadata.UpstreamTime)
 	return reply
 }
 
@@ -73,7 +73,7 @@
 		defer e.releaseSlot(slot, 0)
 		return e.failedReply(ctx, slot, err)
 	}
-	if !e.dialect.Genuine(request.Header, response.Response.Header, response.Response.StatusCode) {
+	if !e.dialect.ValidResponse(request.Header, response.Response.Header, response.Response.StatusCode) {
 		response.Discard()
 		defer e.releaseSlot(slot, 0)
 		return e.failedReply(ctx, slot, errors.Wrap(web.ErrCut, "the response does not belong to the request"))
@@ -101,12 +101,12 @@
 		response.Response.Body.Close()
 		reply.trailer = response.Response.Trailer
 		reply.metadata.ContentLength = int64(len(prefix))
-		reply.metadata.Upstream = time.Since(response.Sent)
+		reply.metadata.UpstreamTime = time.Since(response.Sent)
 		e.releaseSlot(slot, time.Since(started))
 		e.clearSuspicion(meta)
 		return reply
 	}
-	reply.metadata.Upstream = time.Since(response.Sent)
+	reply.metadata.UpstreamTime = time.Since(response.Sent)
 	reply.stream = &upstreamStream{response: response.Response}
 	reply.onFinish = func() { e.releaseSlot(slot, time.Since(started)) }
 	return reply
@@ -161,7 +161,7 @@
 	return protocol.ReplyMetadata{
 		Outcome:       protocol.OutcomeDone,
 		Status:        response.Response.StatusCode,
-		Header:        protocol.Fields(header),
+		Header:        protocol.HeaderFields(header),
 		ContentLength: response.Response.ContentLength,
 	}
 }
--- a/protocol/call.go
+++ b/protocol/call.go
@@ -17,7 +17,7 @@
 	Method  string       `cbor:"4,keyasint"`
 	URI     string       `cbor:"5,keyasint"`
 	Host    string       `cbor:"6,keyasint"`
-	Header  Fields       `cbor:"7,keyasint,omitempty"`
+	Header  HeaderFields `cbor:"7,keyasint,omitempty"`
 	// Remaining is the time left when the ingress sent the call; durations need no common clock.
 	Remaining time.Duration `cbor:"8,keyasint"`
 	Depth     int           `cbor:"9,keyasint,omitempty"`
@@ -65,17 +65,17 @@
 
 // ReplyMetadata opens an executor's answer.
 type ReplyMetadata struct {
-	Outcome Outcome `cbor:"1,keyasint"`
-	Reason  Reason  `cbor:"2,keyasint,omitempty"`
-	Status  int     `cbor:"3,keyasint,omitempty"`
-	Header  Fields  `cbor:"4,keyasint,omitempty"`
+	Outcome Outcome      `cbor:"1,keyasint"`
+	Reason  Reason       `cbor:"2,keyasint,omitempty"`
+	Status  int          `cbor:"3,keyasint,omitempty"`
+	Header  HeaderFields `cbor:"4,keyasint,omitempty"`
 	// ContentLength is -1 if the length is not known in advance.
 	ContentLength int64      `cbor:"5,keyasint,omitempty"`
 	Load          LoadReport `cbor:"6,keyasint"`
 	// Suspect tells that the request was in flight when the upstream crashed; it must not be retried automatically.
 	Suspect bool `cbor:"8,keyasint,omitempty"`
-	// Upstream is the time between the request written to the upstream and its answer read, as far as known.
-	Upstream time.Duration `cbor:"7,keyasint,omitempty"`
+	// UpstreamTime is the time between the request written to the upstream and its answer read, as far as known.
+	UpstreamTime time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
 // ReplyFrame is one message from executor to ingress. Last ends a whole answer; a stream that ends without it
--- a/protocol/control.go
+++ b/protocol/control.go
@@ -65,8 +65,8 @@
 	ID string `cbor:"1,keyasint"`
 	// Formed tells that the replica belongs to a group; one with an empty log does not.
 	Formed bool `cbor:"2,keyasint,omitempty"`
-	// Founding is the group's first membership, as long as the replica's snapshot is the one that holds it.
-	Founding *raft.Membership `cbor:"3,keyasint,omitempty"`
+	// InitialMembership is the group's first membership, as long as the replica's snapshot is the one that holds it.
+	InitialMembership *raft.Membership `cbor:"3,keyasint,omitempty"`
 }
 
 // IdentifyReply describes a control member.
@@ -76,12 +76,12 @@
 	// Admin is the address of the member's operator API.
 	Admin string `cbor:"3,keyasint,omitempty"`
 	Zone  string `cbor:"4,keyasint,omitempty"`
-	// Leads is set if this member leads the registry's log and a quorum confirmed it lately.
-	Leads bool `cbor:"5,keyasint,omitempty"`
+	// IsLeader is set if this member leads the registry's log and a quorum confirmed it lately.
+	IsLeader bool `cbor:"5,keyasint,omitempty"`
 	// Members lists the mesh addresses of the registry's members as far as this one knows, the leader first.
 	Members []string `cbor:"6,keyasint,omitempty"`
-	// Member is set if the asking process is one of them.
-	Member bool `cbor:"7,keyasint,omitempty"`
+	// IsMember is set if the asking process is one of them.
+	IsMember bool `cbor:"7,keyasint,omitempty"`
 }
 
 // LedgerIndex spreads the keys of irreversible calls over the ledger groups.
--- a/protocol/dialect.go
+++ b/protocol/dialect.go
@@ -19,22 +19,22 @@
 	// ExpectUpstream carries the identity of the upstream that is to run a request. Any other upstream answers
 	// 421 Misdirected Request and does not run it.
 	ExpectUpstream string
-	// Proof is set by upstreams on their answers; an answer of success without it is not one.
-	Proof string
+	// SuccessMarker is set by upstreams on their answers; an answer of success without it is not one.
+	SuccessMarker string
 	// NotRun marks an upstream's answer to a request that it has not run. NotRunValue is the value that it then has;
 	// empty means any.
 	NotRun      string
 	NotRunValue string
 	// FractionalRetryAfter is set if callers understand fractions of a second in Retry-After.
 	FractionalRetryAfter bool
-	// Verdicts adds the headers that explain an answer to its caller, such as HeaderOutcome.
-	Verdicts bool
+	// OutcomeHeaders adds the headers that explain an answer to its caller, such as HeaderOutcome.
+	OutcomeHeaders bool
 }
 
 // DefaultDialect is that of callers and upstreams that know sapphiregate.
 var DefaultDialect = Dialect{
 	Deadline: HeaderDeadline, Depth: HeaderDepth, Retry: HeaderRetry,
-	NotRun: HeaderOutcome, NotRunValue: string(OutcomeNotRun), Verdicts: true,
+	NotRun: HeaderOutcome, NotRunValue: string(OutcomeNotRun), OutcomeHeaders: true,
 }
 
 // Refused reports whether an upstream's answer states that it has not run the request.
@@ -49,10 +49,10 @@
 	return status == http.StatusServiceUnavailable && value == d.NotRunValue
 }
 
-// Genuine reports whether an upstream's answer belongs to the request and is what the upstream made.
-func (d *Dialect) Genuine(request, answer http.Header, status int) bool {
+// ValidResponse reports whether an upstream's answer belongs to the request and is what the upstream made.
+func (d *Dialect) ValidResponse(request, answer http.Header, status int) bool {
 	success := status >= http.StatusOK && status < http.StatusMultipleChoices
-	if d.Proof != "" && success && (answer.Get(d.Proof) == "" || answer.Get("Content-Encoding") != "") {
+	if d.SuccessMarker != "" && success && (answer.Get(d.SuccessMarker) == "" || answer.Get("Content-Encoding") != "") {
 		return false
 	}
 	if d.RequestID == "" {
--- a/protocol/fields.go
+++ b/protocol/fields.go
@@ -9,12 +9,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Fields are the header fields of a request or an answer, by canonical name. On the wire the usual names take one byte:
+// HeaderFields are the header fields of a request or an answer, by canonical name. On the wire the usual names take one byte:
 // between two nodes, the head of a small call is longer than its body, and links between zones are charged by the byte.
 //
 // The encoding is a list of fields in the order of their names: the index of a usual name, or 0 and the name; the number
 // of values; and the values. Numbers are unsigned varints, and texts are preceded by their length.
-type Fields map[string][]string
+type HeaderFields map[string][]string
 
 // usualNames are the names that are sent as their index, counted from 1. Names are only ever appended: processes of
 // neighbouring releases understand each other's indices.
@@ -23,7 +23,7 @@
 	"Content-Language", "Content-Length", "Content-Type", "Cookie", "Date", "Etag", "Expires", "If-Match",
 	"If-Modified-Since", "If-None-Match", "Last-Modified", "Location", "Origin", "Range", "Referer", "Retry-After",
 	"Server", "Set-Cookie", "Traceparent", "Tracestate", "User-Agent", "Vary", "Via", "X-Forwarded-For",
-	"X-Forwarded-Proto", "X-Request-Id", HeaderKey, HeaderOutcome, HeaderReason,
+	"X-Forwarded-Proto", "X-Request-Id", HeaderIdempotencyKey, HeaderOutcome, HeaderReason,
 }
 
 var usualIndices = func() map[string]uint64 {
@@ -35,7 +35,7 @@
 }()
 
 // MarshalCBOR encodes the fields as one byte string.
-func (f Fields) MarshalCBOR() ([]byte, error) {
+func (f HeaderFields) MarshalCBOR() ([]byte, error) {
 	var data []byte
 	for _, name := range slices.Sorted(maps.Keys(f)) {
 		index := usualIndices[name]
@@ -56,13 +56,13 @@
 }
 
 // UnmarshalCBOR decodes what MarshalCBOR encodes.
-func (f *Fields) UnmarshalCBOR(encoded []byte) error {
+func (f *HeaderFields) UnmarshalCBOR(encoded []byte) error {
 	var data []byte
 	if err := decoder.Unmarshal(encoded, &data); err != nil {
 		return err
 	}
 	reader := fieldReader{data: data}
-	fields := make(Fields)
+	fields := make(HeaderFields)
 	for len(reader.data) > 0 && reader.err == nil {
 		name := reader.name()
 		if _, repeated := fields[name]; repeated {
@@ -138,6 +138,6 @@
 }
 
 var (
-	_ cbor.Marshaler   = Fields(nil)
-	_ cbor.Unmarshaler = (*Fields)(nil)
+	_ cbor.Marshaler   = HeaderFields(nil)
+	_ cbor.Unmarshaler = (*HeaderFields)(nil)
 )
--- a/protocol/header.go
+++ b/protocol/header.go
@@ -14,12 +14,12 @@
 	HeaderDepth = "Sapphire-Depth"
 	// HeaderRetry marks calls that are made on behalf of a retry; they are never retried again.
 	HeaderRetry = "Sapphire-Retry"
-	// HeaderAdded is the time that the request spent in our processes, in microseconds.
-	HeaderAdded = "Sapphire-Added-Micros"
+	// HeaderAddedTime is the time that the request spent in our processes, in microseconds.
+	HeaderAddedTime = "Sapphire-Added-Micros"
 	// HeaderVersion is the configuration version that routed the request.
 	HeaderVersion = "Sapphire-Version"
-	// HeaderKey makes irreversible requests idempotent.
-	HeaderKey = "Idempotency-Key"
+	// HeaderIdempotencyKey makes irreversible requests idempotent.
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 // MaxDepth is the deepest chain of calls that is carried; deeper calls are refused as not run.
@@ -46,27 +46,27 @@
 
 // The reasons.
 const (
-	ReasonNone            Reason = ""
-	ReasonNoRoute         Reason = "no-route"
-	ReasonNotReady        Reason = "not-ready"
-	ReasonNoUpstream      Reason = "no-upstream"
-	ReasonShed            Reason = "shed"
-	ReasonCallLimit       Reason = "call-limit"
-	ReasonDeadline        Reason = "deadline"
-	ReasonDraining        Reason = "draining"
-	ReasonQuarantined     Reason = "quarantined"
-	ReasonKeyMissing      Reason = "key-missing"
-	ReasonKeyReused       Reason = "key-reused"
-	ReasonKeyExpired      Reason = "key-expired"
-	ReasonLedger          Reason = "ledger-unavailable"
-	ReasonInProgress      Reason = "in-progress"
-	ReasonUpstreamFailed  Reason = "upstream-failed"
-	ReasonUpstreamRefused Reason = "upstream-refused"
-	ReasonUnreachable     Reason = "upstream-unreachable"
-	ReasonTruncated       Reason = "truncated"
-	ReasonNodeFailed      Reason = "node-failed"
-	ReasonTooLarge        Reason = "too-large"
-	ReasonTooDeep         Reason = "too-deep"
-	ReasonCallerGone      Reason = "caller-gone"
-	ReasonAnswerDropped   Reason = "answer-not-kept"
+	ReasonNone              Reason = ""
+	ReasonNoRoute           Reason = "no-route"
+	ReasonNotReady          Reason = "not-ready"
+	ReasonNoUpstream        Reason = "no-upstream"
+	ReasonShed              Reason = "shed"
+	ReasonCallLimit         Reason = "call-limit"
+	ReasonDeadline          Reason = "deadline"
+	ReasonDraining          Reason = "draining"
+	ReasonQuarantined       Reason = "quarantined"
+	ReasonKeyMissing        Reason = "key-missing"
+	ReasonKeyReused         Reason = "key-reused"
+	ReasonKeyExpired        Reason = "key-expired"
+	ReasonLedgerUnavailable Reason = "ledger-unavailable"
+	ReasonInProgress        Reason = "in-progress"
+	ReasonUpstreamFailed    Reason = "upstream-failed"
+	ReasonUpstreamRefused   Reason = "upstream-refused"
+	ReasonUnreachable       Reason = "upstream-unreachable"
+	ReasonTruncated         Reason = "truncated"
+	ReasonNodeFailed        Reason = "node-failed"
+	ReasonTooLarge          Reason = "too-large"
+	ReasonTooDeep           Reason = "too-deep"
+	ReasonCallerGone        Reason = "caller-gone"
+	ReasonResponseNotKept   Reason = "answer-not-kept"
 )
--- a/protocol/operator/backend.go
+++ b/protocol/operator/backend.go
@@ -21,14 +21,14 @@
 	Stop(ctx context.Context, r StopRequest) (Decision, error)
 	Replace(ctx context.Context, r ReplaceRequest) (Decision, error)
 	Status(ctx context.Context) (Status, error)
-	History(ctx context.Context, r HistoryRequest) (HistoryAnswer, error)
-	Members(ctx context.Context) (MembersAnswer, error)
-	AddMember(ctx context.Context, r AddMemberRequest) (MembersAnswer, error)
-	RemoveMember(ctx context.Context, r RemoveMemberRequest) (MembersAnswer, error)
-	ReplaceMember(ctx context.Context, r ReplaceMemberRequest) (MembersAnswer, error)
-	Quarantine(ctx context.Context) (QuarantineAnswer, error)
-	ClearQuarantine(ctx context.Context, r ClearQuarantineRequest) (ClearQuarantineAnswer, error)
-	Dump(ctx context.Context) (DumpAnswer, error)
+	History(ctx context.Context, r HistoryRequest) (HistoryResponse, error)
+	Members(ctx context.Context) (MembersResponse, error)
+	AddMember(ctx context.Context, r AddMemberRequest) (MembersResponse, error)
+	RemoveMember(ctx context.Context, r RemoveMemberRequest) (MembersResponse, error)
+	ReplaceMember(ctx context.Context, r ReplaceMemberRequest) (MembersResponse, error)
+	Quarantine(ctx context.Context) (QuarantineResponse, error)
+	ClearQuarantine(ctx context.Context, r ClearQuarantineRequest) (ClearQuarantineResponse, error)
+	Dump(ctx context.Context) (DumpResponse, error)
 }
 
 // NewHandler returns the API over a backend. It checks the form of requests; the backend decides about their content.
--- a/protocol/operator/client.go
+++ b/protocol/operator/client.go
@@ -183,49 +183,49 @@
 }
 
 // History implements Backend.
-func (c *Client) History(ctx context.Context, r HistoryRequest) (HistoryAnswer, error) {
+func (c *Client) History(ctx context.Context, r HistoryRequest) (HistoryResponse, error) {
 	limit := r.Limit
 	if limit == 0 {
 		limit = DefaultHistoryLimit
 	}
-	return read[HistoryAnswer](ctx, c, PathHistory+"?limit="+strconv.Itoa(limit))
+	return read[HistoryResponse](ctx, c, PathHistory+"?limit="+strconv.Itoa(limit))
 }
 
 // Members implements Backend.
-func (c *Client) Members(ctx context.Context) (MembersAnswer, error) {
-	return read[MembersAnswer](ctx, c, PathMembers)
+func (c *Client) Members(ctx context.Context) (MembersResponse, error) {
+	return read[MembersResponse](ctx, c, PathMembers)
 }
 
 // AddMember implements Backend.
-func (c *Client) AddMember(ctx context.Context, r AddMemberRequest) (MembersAnswer, error) {
+func (c *Client) AddMember(ctx context.Context, r AddMemberRequest) (MembersResponse, error) {
 	r.RequestID = orNew(r.RequestID)
-	return change[MembersAnswer](ctx, c, PathMemberAdd, r, membershipAttemptTimeout)
+	return change[MembersResponse](ctx, c, PathMemberAdd, r, membershipAttemptTimeout)
 }
 
 // RemoveMember implements Backend.
-func (c *Client) RemoveMember(ctx context.Context, r RemoveMemberRequest) (MembersAnswer, error) {
+func (c *Client) RemoveMember(ctx context.Context, r RemoveMemberRequest) (MembersResponse, error) {
 	r.RequestID = orNew(r.RequestID)
-	return change[MembersAnswer](ctx, c, PathMemberRemove, r, membershipAttemptTimeout)
+	return change[MembersResponse](ctx, c, PathMemberRemove, r, membershipAttemptTimeout)
 }
 
 // ReplaceMember implements Backend.
-func (c *Client) ReplaceMember(ctx context.Context, r ReplaceMemberRequest) (MembersAnswer, error) {
+func (c *Client) ReplaceMember(ctx context.Context, r ReplaceMemberRequest) (MembersResponse, error) {
 	r.RequestID = orNew(r.RequestID)
-	return change[MembersAnswer](ctx, c, PathMemberReplace, r, membershipAttemptTimeout)
+	return change[MembersResponse](ctx, c, PathMemberReplace, r, membershipAttemptTimeout)
 }
 
 // Quarantine implements Backend.
-func (c *Client) Quarantine(ctx context.Context) (QuarantineAnswer, error) {
-	return read[QuarantineAnswer](ctx, c, PathQuarantine)
+func (c *Client) Quarantine(ctx context.Context) (QuarantineResponse, error) {
+	return read[QuarantineResponse](ctx, c, PathQuarantine)
 }
 
 // ClearQuarantine implements Backend.
-func (c *Client) ClearQuarantine(ctx context.Context, r ClearQuarantineRequest) (ClearQuarantineAnswer, error) {
+func (c *Client) ClearQuarantine(ctx context.Context, r ClearQuarantineRequest) (ClearQuarantineResponse, error) {
 	r.RequestID = orNew(r.RequestID)
-	return change[ClearQuarantineAnswer](ctx, c, PathQuarantineClear, r, c.config.AttemptTimeout)
+	return change[ClearQuarantineResponse](ctx, c, PathQuarantineClear, r, c.config.AttemptTimeout)
 }
 
 // Dump implements Backend.
-func (c *Client) Dump(ctx context.Context) (DumpAnswer, error) {
-	return read[DumpAnswer](ctx, c, PathDump)
+func (c *Client) Dump(ctx context.Context) (DumpResponse, error) {
+	return read[DumpResponse](ctx, c, PathDump)
 }
--- a/protocol/operator/errors.go
+++ b/protocol/operator/errors.go
@@ -80,8 +80,8 @@
 	registry.CodeMalformed:      ErrBadRequest,
 }
 
-// FromResult converts a registry result into the answer of a backend.
-func FromResult(r registry.Result) (Decision, error) {
+// DecisionFromResult converts a registry result into the answer of a backend.
+func DecisionFromResult(r registry.Result) (Decision, error) {
 	if r.Code == registry.CodeOK {
 		return Decision{Effect: r.Effect, Index: r.Index, Approval: r.Approval}, nil
 	}
--- a/protocol/operator/operator_test.go
+++ b/protocol/operator/operator_test.go
@@ -59,7 +59,7 @@
 		return operator.Decision{}, m.err
 	}
 	m.index++
-	return operator.FromResult(m.registry.Apply(m.index, c))
+	return operator.DecisionFromResult(m.registry.Apply(m.index, c))
 }
 
 func (m *member) Stage(_ context.Context, r operator.StageRequest) (operator.Decision, error) {
@@ -80,8 +80,8 @@
 		Lagging: []operator.LaggingProxy{{ID: "n1", Version: 4, Reason: "parts missing"}}}}}, m.err
 }
 
-func (m *member) History(_ context.Context, r operator.HistoryRequest) (operator.HistoryAnswer, error) {
-	return operator.HistoryAnswer{Records: make([]registry.HistoryRecord, r.Limit)}, nil
+func (m *member) History(_ context.Context, r operator.HistoryRequest) (operator.HistoryResponse, error) {
+	return operator.HistoryResponse{Records: make([]registry.HistoryRecord, r.Limit)}, nil
 }
 
 // losing drops the connection after the first n requests were handled, as a crash after the commit does.
@@ -211,7 +211,7 @@
 
 	It("prefers the status of a member that a quorum confirmed over that of a partitioned one", func() {
 		cut, old, good := newMember(), newMember(), newMember()
-		cut.confirmed, old.confirmed = operator.AgeUnknown, 2*operator.MaxFigureAgeMs
+		cut.confirmed, old.confirmed = operator.AgeUnknown, 2*operator.MaxFreshAgeMs
 		first, second := serve(operator.NewHandler(cut)), serve(operator.NewHandler(old))
 		status, err := clientOf(first, second, serve(operator.NewHandler(good))).Status(ctx)
 		Expect(err).NotTo(HaveOccurred())
@@ -242,26 +242,26 @@
 
 	DescribeTable("judges a zone, never from old figures",
 		func(z operator.ZoneStatus, stopped bool, want operator.RolloutState) {
-			z.Rollout = operator.RolloutOf(5, stopped, z)
+			z.Rollout = operator.ZoneRollout(5, stopped, z)
 			Expect(z.Rollout).To(Equal(want))
-			Expect(operator.RolloutOfAll(5, stopped, []operator.ZoneStatus{z})).To(Equal(want))
+			Expect(operator.MeshRollout(5, stopped, []operator.ZoneStatus{z})).To(Equal(want))
 		},
 		Entry("all", zone(0, 5, operator.VersionCount{Version: 5, Proxies: 4}), false, operator.RolloutInForce),
 		Entry("all, later versions unlisted", zone(0, 6), false, operator.RolloutInForce),
 		Entry("some", zone(0, 4, operator.VersionCount{Version: 5, Proxies: 3}), false, operator.RolloutInProgress),
-		Entry("old figures", zone(operator.MaxFigureAgeMs+1, 5), false, operator.RolloutUnknown),
+		Entry("old figures", zone(operator.MaxFreshAgeMs+1, 5), false, operator.RolloutUnknown),
 		Entry("no figures", zone(operator.AgeUnknown, 5), false, operator.RolloutUnknown),
 		Entry("stopped", zone(0, 5), true, operator.RolloutStopped),
 	)
 
 	It("does not judge a mesh without proxies, nor one before the first approval", func() {
-		Expect(operator.RolloutOfAll(5, false, nil)).To(Equal(operator.RolloutUnknown))
-		Expect(operator.RolloutOfAll(0, false, nil)).To(Equal(operator.RolloutNone))
+		Expect(operator.MeshRollout(5, false, nil)).To(Equal(operator.RolloutUnknown))
+		Expect(operator.MeshRollout(0, false, nil)).To(Equal(operator.RolloutNone))
 	})
 
 	It("returns the newest records of a history first", func() {
 		records := []registry.HistoryRecord{{Index: 1}, {Index: 2}, {Index: 3}}
-		Expect(operator.NewestFirst(records, 2)).To(Equal([]registry.HistoryRecord{{Index: 3}, {Index: 2}}))
+		Expect(operator.NewestRecords(records, 2)).To(Equal([]registry.HistoryRecord{{Index: 3}, {Index: 2}}))
 	})
 })
 
--- a/protocol/operator/rollout.go
+++ b/protocol/operator/rollout.go
@@ -6,12 +6,12 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// MaxFigureAgeMs is the age in milliseconds above which figures do not prove that a version is in force. It exceeds the
+// MaxFreshAgeMs is the age in milliseconds above which figures do not prove that a version is in force. It exceeds the
 // time of several polls down the tree and back.
-const MaxFigureAgeMs int64 = 10_000
+const MaxFreshAgeMs int64 = 10_000
 
 // Fresh reports whether an age in milliseconds is known and small enough for a judgment.
-func Fresh(ageMs int64) bool { return ageMs != AgeUnknown && ageMs <= MaxFigureAgeMs }
+func Fresh(ageMs int64) bool { return ageMs != AgeUnknown && ageMs <= MaxFreshAgeMs }
 
 // InForce counts the proxies of the zone that have the version or a later one in force. The zone lists only its newest
 // versions, so older entries are covered by LowestVersion.
@@ -28,8 +28,8 @@
 	return count
 }
 
-// RolloutOf returns the state of the latest version's rollout in a zone.
-func RolloutOf(latest uint64, stopped bool, z ZoneStatus) RolloutState {
+// ZoneRollout returns the state of the latest version's rollout in a zone.
+func ZoneRollout(latest uint64, stopped bool, z ZoneStatus) RolloutState {
 	switch {
 	case latest == 0:
 		return RolloutNone
@@ -44,8 +44,8 @@
 	}
 }
 
-// RolloutOfAll returns the state of the latest version's rollout over all zones, from the states of the zones.
-func RolloutOfAll(latest uint64, stopped bool, zones []ZoneStatus) RolloutState {
+// MeshRollout returns the state of the latest version's rollout over all zones, from the states of the zones.
+func MeshRollout(latest uint64, stopped bool, zones []ZoneStatus) RolloutState {
 	if latest == 0 {
 		return RolloutNone
 	}
@@ -66,8 +66,8 @@
 	return worst
 }
 
-// NewestFirst returns at most limit records of a registry's history in the order of HistoryAnswer.
-func NewestFirst(records []registry.HistoryRecord, limit int) []registry.HistoryRecord {
+// NewestRecords returns at most limit records of a registry's history in the order of HistoryAnswer.
+func NewestRecords(records []registry.HistoryRecord, limit int) []registry.HistoryRecord {
 	list := slices.Clone(records[max(0, len(records)-limit):])
 	slices.Reverse(list)
 	return list
--- a/protocol/operator/types.go
+++ b/protocol/operator/types.go
@@ -134,8 +134,8 @@
 	Limit int `json:"limit"`
 }
 
-// HistoryAnswer lists decisions, newest first.
-type HistoryAnswer struct {
+// HistoryResponse lists decisions, newest first.
+type HistoryResponse struct {
 	Records []registry.HistoryRecord `json:"records"`
 }
 
@@ -154,8 +154,8 @@
 	LastContactMs int64 `json:"last_contact_ms"`
 }
 
-// MembersAnswer lists the control members.
-type MembersAnswer struct {
+// MembersResponse lists the control members.
+type MembersResponse struct {
 	Term    uint64   `json:"term"`
 	Commit  uint64   `json:"commit"`
 	Members []Member `json:"members"`
@@ -196,8 +196,8 @@
 	ExpiresInMs int64    `json:"expires_in_ms"`
 }
 
-// QuarantineAnswer lists the quarantined fingerprints.
-type QuarantineAnswer struct {
+// QuarantineResponse lists the quarantined fingerprints.
+type QuarantineResponse struct {
 	Entries []QuarantineEntry `json:"entries"`
 }
 
@@ -209,13 +209,13 @@
 	Fingerprints []string `json:"fingerprints,omitempty"`
 }
 
-// ClearQuarantineAnswer counts the cleared fingerprints.
-type ClearQuarantineAnswer struct {
+// ClearQuarantineResponse counts the cleared fingerprints.
+type ClearQuarantineResponse struct {
 	Cleared int `json:"cleared"`
 }
 
-// DumpAnswer is the state dump of the member that answered.
-type DumpAnswer struct {
+// DumpResponse is the state dump of the member that answered.
+type DumpResponse struct {
 	Member string          `json:"member"`
 	State  json.RawMessage `json:"state"`
 }
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -37,7 +37,7 @@
 	reply = protocol.ReplyFrame{
 		Metadata: &protocol.ReplyMetadata{
 			Outcome: protocol.OutcomeDone, Status: 200, ContentLength: 4,
-			Header: protocol.Fields{"Content-Type": {"text/plain"}, "X-Sum": {""}, "Vary": {"Accept", "Origin"}, "Date": {}},
+			Header: protocol.HeaderFields{"Content-Type": {"text/plain"}, "X-Sum": {""}, "Vary": {"Accept", "Origin"}, "Date": {}},
 		},
 		Body: []byte("body"), Last: true,
 	}
@@ -77,7 +77,7 @@
 	// Guards against heads that are several times as long as a small answer: most calls have neither a body nor a key, and
 	// links between zones are charged by the byte.
 	It("sends no usual header name and no empty digest with a call", func() {
-		head := protocol.CallMetadata{Header: protocol.Fields{
+		head := protocol.CallMetadata{Header: protocol.HeaderFields{
 			"Accept": {"*/*"}, "Accept-Encoding": {"identity"}, "X-Request-Id": {"1"}, "User-Agent": {"client"}, "X-Own": {"2"},
 		}}
 		data := encoded(head)
@@ -91,7 +91,7 @@
 	})
 
 	DescribeTable("refuses header fields that are", func(fields []byte) {
-		var decoded protocol.Fields
+		var decoded protocol.HeaderFields
 		Expect(protocol.Unmarshal(encoded(fields), &decoded)).To(MatchError(protocol.ErrMalformed))
 		Expect(decoded).To(BeNil())
 	},
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -172,7 +172,7 @@
 
 // checkHistory looks for acknowledged versions that the group has lost or that have another content.
 func (r *run) checkHistory(ctx context.Context) {
-	var answer operator.HistoryAnswer
+	var answer operator.HistoryResponse
 	read := func() bool {
 		var err error
 		answer, err = r.operator.History(ctx, operator.HistoryRequest{Limit: historyLimit})
--- a/transport/web/upstream.go
+++ b/transport/web/upstream.go
@@ -186,7 +186,7 @@
 // have no case on the wire.
 func forbidReplay(request *http.Request) {
 	request.GetBody = nil
-	for _, name := range []string{protocol.HeaderKey, "X-Idempotency-Key"} {
+	for _, name := range []string{protocol.HeaderIdempotencyKey, "X-Idempotency-Key"} {
 		if values, ok := request.Header[name]; ok {
 			delete(request.Header, name)
 			request.Header[strings.ToLower(name)] = values
--- a/transport/web/upstream_test.go
+++ b/transport/web/upstream_test.go
@@ -24,7 +24,7 @@
 
 func post(body string) web.UpstreamRequest {
 	request := web.UpstreamRequest{
-		Method: http.MethodPost, URI: "/promotions", Header: http.Header{protocol.HeaderKey: {"k1"}},
+		Method: http.MethodPost, URI: "/promotions", Header: http.Header{protocol.HeaderIdempotencyKey: {"k1"}},
 	}
 	if body != "" {
 		request.Body = bytes.NewReader([]byte(body))
@@ -48,7 +48,7 @@
 			if breakConnection.Load() {
 				panic(http.ErrAbortHandler)
 			}
-			_, _ = io.WriteString(w, r.Header.Get(protocol.HeaderKey))
+			_, _ = io.WriteString(w, r.Header.Get(protocol.HeaderIdempotencyKey))
 		}))
 		DeferCleanup(server.Close)
 		client = web.NewUpstreamClient(server.Listener.Addr().String(), 4)
