--- a/protocol/call.go
+++ b/protocol/call.go
@@ -6,10 +6,10 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// ChunkBytes is the largest body part that one frame carries.
+// ChunkBytes bounds the part of a body that one frame carries.
 const ChunkBytes = 64 << 10
 
-// CallMetadata opens a call from an ingress to the executor beside the chosen upstream.
+// CallMetadata is the first part of a call from an ingress to the executor beside the selected upstream.
 type CallMetadata struct {
 	Service string       `cbor:"1,keyasint"`
 	Route   string       `cbor:"2,keyasint"`
@@ -18,36 +18,44 @@
 	URI     string       `cbor:"5,keyasint"`
 	Host    string       `cbor:"6,keyasint"`
 	Header  HeaderFields `cbor:"7,keyasint,omitempty"`
-	// Remaining is the time left when the ingress sent the call; durations need no common clock.
+	// Remaining is the time left until the deadline when the ingress sent the call. It is a duration because the clocks
+	// of the instances may differ.
 	Remaining time.Duration `cbor:"8,keyasint"`
-	Depth     int           `cbor:"9,keyasint,omitempty"`
-	Retry     bool          `cbor:"10,keyasint,omitempty"`
+	// Depth is the number of calls above this one in its chain; see HeaderDepth.
+	Depth int `cbor:"9,keyasint,omitempty"`
+	// Retry is set for calls that are made on behalf of a retry; see HeaderRetry.
+	Retry bool `cbor:"10,keyasint,omitempty"`
 	// Key is the idempotency key of an irreversible call.
 	Key string `cbor:"11,keyasint,omitempty"`
 	// ContentLength is -1 if the length is not known in advance.
 	ContentLength int64 `cbor:"12,keyasint"`
-	// Incarnation is the executor's incarnation that the ingress chose; another one refuses the call.
+	// Incarnation is the incarnation of the executor that the ingress has selected. An executor of another incarnation
+	// refuses the call.
 	Incarnation uint64 `cbor:"13,keyasint,omitempty"`
-	// Fingerprint identifies the request among those that crash upstreams.
+	// Fingerprint identifies the request in the quarantine of requests that crash upstreams.
 	Fingerprint [16]byte `cbor:"14,keyasint,omitzero"`
 	// Exclusive asks the executor to run the call with no other call in flight.
-	Exclusive bool   `cbor:"15,keyasint,omitempty"`
-	Version   uint64 `cbor:"16,keyasint,omitempty"`
+	Exclusive bool `cbor:"15,keyasint,omitempty"`
+	// Version is the configuration version that the ingress has in force.
+	Version uint64 `cbor:"16,keyasint,omitempty"`
 	// TrailerNames declares the trailer fields that follow a streamed body.
 	TrailerNames []string `cbor:"19,keyasint,omitempty"`
 	// RequestDigest identifies the content of an irreversible request.
 	RequestDigest [32]byte `cbor:"18,keyasint,omitzero"`
-	// Priority ranks the call in the upstream's queue; 1 is first, 0 takes the rank of the class.
+	// Priority is the priority of the call in the upstream's queue: 1 is served first, 0 takes the priority of the
+	// class.
 	Priority int `cbor:"20,keyasint,omitempty"`
-	// RequestID is the caller's name for the request, which the executor sets under its dialect's header name.
+	// RequestID is the caller's identifier of the request. The executor sends it to the upstream in the header field
+	// Dialect.RequestID.
 	RequestID string `cbor:"23,keyasint,omitempty"`
-	// TargetRemaining is the time within which an answer has its full value; 0 if that is not known.
+	// TargetRemaining is the time left in which a response has its full value for the caller; 0 if the route has no
+	// target.
 	TargetRemaining time.Duration `cbor:"22,keyasint,omitempty"`
-	// Progress asks the executor for a sign that it has the call, which a hedge waits for.
+	// Progress asks the executor for a progress frame as soon as it has the call. A hedged request waits for it.
 	Progress bool `cbor:"21,keyasint,omitempty"`
 }
 
-// CallFrame is one message from ingress to executor. The first frame has metadata; Last ends the request.
+// CallFrame is one message from ingress to executor. Only the first frame has metadata; Last marks the last frame.
 type CallFrame struct {
 	Metadata *CallMetadata       `cbor:"1,keyasint,omitempty"`
 	Body     []byte              `cbor:"2,keyasint,omitempty"`
@@ -55,7 +63,7 @@
 	Trailer  map[string][]string `cbor:"4,keyasint,omitempty"`
 }
 
-// LoadReport is the executor's first-hand knowledge of its upstream, carried on every answer.
+// LoadReport is the load of an upstream as its executor counts it. Every reply carries one.
 type LoadReport struct {
 	InFlight      int   `cbor:"1,keyasint,omitempty"`
 	Queued        int   `cbor:"2,keyasint,omitempty"`
@@ -63,7 +71,7 @@
 	LatencyMicros int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// ReplyMetadata opens an executor's answer.
+// ReplyMetadata is the first part of an executor's reply.
 type ReplyMetadata struct {
 	Outcome Outcome      `cbor:"1,keyasint"`
 	Reason  Reason       `cbor:"2,keyasint,omitempty"`
@@ -72,19 +80,20 @@
 	// ContentLength is -1 if the length is not known in advance.
 	ContentLength int64      `cbor:"5,keyasint,omitempty"`
 	Load          LoadReport `cbor:"6,keyasint"`
-	// Suspect tells that the request was in flight when the upstream crashed; it must not be retried automatically.
+	// Suspect is set if the request was in flight when the upstream crashed. Such a request must not be retried.
 	Suspect bool `cbor:"8,keyasint,omitempty"`
-	// UpstreamTime is the time between the request written to the upstream and its answer read, as far as known.
+	// UpstreamTime is the time from sending the request to the upstream until its response was read; 0 if not known.
 	UpstreamTime time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
-// ReplyFrame is one message from executor to ingress. Last ends a whole answer; a stream that ends without it
-// was cut and the answer is not whole.
+// ReplyFrame is one message from executor to ingress. Last marks the last frame of a complete reply; the reply of a
+// stream that ends without it is truncated.
 type ReplyFrame struct {
 	Metadata *ReplyMetadata      `cbor:"1,keyasint,omitempty"`
 	Body     []byte              `cbor:"2,keyasint,omitempty"`
 	Last     bool                `cbor:"3,keyasint,omitempty"`
 	Trailer  map[string][]string `cbor:"4,keyasint,omitempty"`
-	// Progress tells, before the metadata, that the executor has the call. Such a frame has no other field.
+	// Progress marks a progress frame: before the metadata, it tells that the executor has the call. It has no other
+	// field.
 	Progress bool `cbor:"5,keyasint,omitempty"`
 }
--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -1,5 +1,5 @@
-// Package protocol holds the messages that sapphiregate's processes exchange, the headers that callers see,
-// and the codec for both the wire and the log.
+// Package protocol defines the messages that the processes of sapphiregate exchange, the HTTP header fields of callers
+// and upstreams, and the CBOR codec for messages and for entries of the replicated logs.
 package protocol
 
 import (
@@ -9,13 +9,13 @@
 
 // Errors of this layer.
 var (
-	// ErrMalformed reports a message that does not decode.
+	// ErrMalformed reports a message that cannot be encoded or decoded.
 	ErrMalformed = errors.New("protocol: malformed message")
-	// ErrTooLarge reports a message or body beyond its bound.
-	ErrTooLarge = errors.New("protocol: message exceeds its bound")
+	// ErrTooLarge reports a message or body that exceeds its size limit.
+	ErrTooLarge = errors.New("protocol: message exceeds its size limit")
 )
 
-// Bounds on decoded messages, so that a corrupt length cannot make a process allocate without limit.
+// Limits of decoded messages, so that a corrupt length cannot make a process allocate without limit.
 const (
 	maxArrayElements = 1 << 20
 	maxMapPairs      = 1 << 17
@@ -30,7 +30,7 @@
 	return mode
 }()
 
-// decoder accepts unknown fields, so that processes of neighbouring releases understand each other.
+// decoder ignores unknown fields, so that processes of adjacent releases understand each other.
 var decoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: maxArrayElements,
@@ -43,7 +43,7 @@
 	return mode
 }()
 
-// Marshal encodes a message. The same value always gives the same bytes.
+// Marshal encodes a message. The encoding is deterministic. The error is ErrMalformed.
 func Marshal(message any) ([]byte, error) {
 	data, err := encoder.Marshal(message)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return data, nil
 }
 
-// Unmarshal decodes a message.
+// Unmarshal decodes a message. The error is ErrMalformed.
 func Unmarshal(data []byte, message any) error {
 	if err := decoder.Unmarshal(data, message); err != nil {
 		return errors.Wrapf(ErrMalformed, "decode %T: %v", message, err)
--- a/protocol/crash.go
+++ b/protocol/crash.go
@@ -7,7 +7,8 @@
 	"sapphiregate.example/sapphiregate/coordination/relay"
 )
 
-// EncodeCrashReport packs a quarantine report for the distribution tree, which does not look into it.
+// EncodeCrashReport encodes a quarantine report as a message of the distribution tree, which does not decode the
+// payload. The error is ErrMalformed.
 func EncodeCrashReport(report quarantine.Report) (relay.CrashReport, error) {
 	payload, err := Marshal(report)
 	if err != nil {
@@ -19,7 +20,8 @@
 	}, nil
 }
 
-// DecodeCrashReport unpacks a report. Its age is the one that the tree kept up to date.
+// DecodeCrashReport decodes a report from the distribution tree. Its age is that of the message, which the tree updates
+// at each hop. The error is ErrMalformed.
 func DecodeCrashReport(encoded relay.CrashReport) (quarantine.Report, error) {
 	var report quarantine.Report
 	if err := Unmarshal(encoded.Payload, &report); err != nil {
--- a/protocol/dialect.go
+++ b/protocol/dialect.go
@@ -2,42 +2,45 @@
 
 import "net/http"
 
-// Dialect names the header fields by which callers and upstreams speak with a node. A deployment whose callers and
-// upstreams have names of their own sets it; an empty name switches its field off.
+// Dialect holds the names of the header fields that nodes exchange with callers and upstreams. A deployment sets it if
+// its callers and upstreams use other names; an empty name switches the field off.
 type Dialect struct {
-	// Deadline carries the time left for a request, in milliseconds.
+	// Deadline is the field with the time left for a request, in milliseconds.
 	Deadline string
-	// Depth counts the calls above a request.
+	// Depth is the field with the number of calls above a request in its chain.
 	Depth string
-	// Retry marks requests that are made on behalf of a retry.
+	// Retry is the field that marks requests made on behalf of a retry.
 	Retry string
-	// RequestID identifies one attempt of a caller. Upstreams repeat it, which tells an answer to this request from a late
-	// answer to an earlier one.
+	// RequestID is the field that identifies one attempt of a caller. Upstreams return it in their response, so that a
+	// late response to an earlier request is not taken for the response to this one.
 	RequestID string
-	// CallerService carries the service beside which a request began. The ingress sets it, whatever the caller sent.
+	// CallerService is the field with the service of the caller. The ingress sets it, and replaces any value that the
+	// caller sent.
 	CallerService string
-	// ExpectUpstream carries the identity of the upstream that is to run a request. Any other upstream answers
-	// 421 Misdirected Request and does not run it.
+	// ExpectUpstream is the field with the identity of the upstream that should run a request. Any other upstream
+	// responds with 421 Misdirected Request and does not run it.
 	ExpectUpstream string
-	// SuccessMarker is set by upstreams on their answers; an answer of success without it is not one.
+	// SuccessMarker is the field that upstreams set in their responses. A response with a success status but without
+	// this field does not come from the upstream itself.
 	SuccessMarker string
-	// NotRun marks an upstream's answer to a request that it has not run. NotRunValue is the value that it then has;
-	// empty means any.
+	// NotRun is the field by which an upstream tells that it has not run the request. NotRunValue is the value that
+	// means this; empty means any value.
 	NotRun      string
 	NotRunValue string
 	// FractionalRetryAfter is set if callers understand fractions of a second in Retry-After.
 	FractionalRetryAfter bool
-	// OutcomeHeaders adds the headers that explain an answer to its caller, such as HeaderOutcome.
+	// OutcomeHeaders adds header fields such as HeaderOutcome to responses, which tell the caller what became of its
+	// request.
 	OutcomeHeaders bool
 }
 
-// DefaultDialect is that of callers and upstreams that know sapphiregate.
+// DefaultDialect is the dialect of callers and upstreams that use the header names of sapphiregate.
 var DefaultDialect = Dialect{
 	Deadline: HeaderDeadline, Depth: HeaderDepth, Retry: HeaderRetry,
 	NotRun: HeaderOutcome, NotRunValue: string(OutcomeNotRun), OutcomeHeaders: true,
 }
 
-// Refused reports whether an upstream's answer states that it has not run the request.
+// Refused reports whether an upstream's response states that the request was not run.
 func (d *Dialect) Refused(status int, header http.Header) bool {
 	if d.ExpectUpstream != "" && status == http.StatusMisdirectedRequest {
 		return true
@@ -49,15 +52,18 @@
 	return status == http.StatusServiceUnavailable && value == d.NotRunValue
 }
 
-// ValidResponse reports whether an upstream's answer belongs to the request and is what the upstream made.
-func (d *Dialect) ValidResponse(request, answer http.Header, status int) bool {
+// ValidResponse reports whether a response belongs to the request and comes unchanged from the upstream itself: if the
+// dialect has a SuccessMarker, a response of success must have it and must not be encoded, and if the dialect has a
+// RequestID, the response must return that of the request. A response other than success may omit it.
+func (d *Dialect) ValidResponse(request, response http.Header, status int) bool {
 	success := status >= http.StatusOK && status < http.StatusMultipleChoices
-	if d.SuccessMarker != "" && success && (answer.Get(d.SuccessMarker) == "" || answer.Get("Content-Encoding") != "") {
+	if d.SuccessMarker != "" && success &&
+		(response.Get(d.SuccessMarker) == "" || response.Get("Content-Encoding") != "") {
 		return false
 	}
 	if d.RequestID == "" {
 		return true
 	}
-	echoed := answer.Get(d.RequestID)
+	echoed := response.Get(d.RequestID)
 	return echoed == request.Get(d.RequestID) || echoed == "" && !success
 }
--- a/protocol/header.go
+++ b/protocol/header.go
@@ -1,50 +1,49 @@
 package protocol
 
-// Headers between callers, upstreams and nodes.
+// Header fields between callers, upstreams and nodes.
 const (
 	// HeaderOutcome tells a caller what became of its request; see Outcome.
 	HeaderOutcome = "Sapphire-Outcome"
-	// HeaderOutcomeURL is where a caller can ask again for the outcome of an irreversible request.
+	// HeaderOutcomeURL is the URL at which a caller can ask later for the outcome of an irreversible request.
 	HeaderOutcomeURL = "Sapphire-Outcome-Url"
-	// HeaderReason says in one word why a request was refused or its outcome is unknown.
+	// HeaderReason tells why a request was refused or its outcome is unknown; see Reason.
 	HeaderReason = "Sapphire-Reason"
 	// HeaderDeadline is the time left for the request, in milliseconds.
 	HeaderDeadline = "Sapphire-Deadline-Ms"
-	// HeaderDepth counts the calls above this one.
+	// HeaderDepth is the number of calls above this one in its chain.
 	HeaderDepth = "Sapphire-Depth"
-	// HeaderRetry marks calls that are made on behalf of a retry; they are never retried again.
+	// HeaderRetry marks calls that are made on behalf of a retry. They are never retried themselves.
 	HeaderRetry = "Sapphire-Retry"
-	// HeaderAddedTime is the time that the request spent in our processes, in microseconds.
+	// HeaderAddedTime is the time that the request spent in processes of sapphiregate, in microseconds.
 	HeaderAddedTime = "Sapphire-Added-Micros"
 	// HeaderVersion is the configuration version that routed the request.
 	HeaderVersion = "Sapphire-Version"
-	// HeaderIdempotencyKey makes irreversible requests idempotent.
+	// HeaderIdempotencyKey is the key by which irreversible requests are idempotent.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// MaxDepth is the deepest chain of calls that is carried; deeper calls are refused as not run.
-// The deepest chain in the design scale is 22.
+// MaxDepth is the greatest allowed length of a chain of calls; calls beyond it are refused as not run. The longest
+// chain that the system is designed for is 22.
 const MaxDepth = 32
 
-// MaxHeaderBytes bounds the header of a request and of an answer.
+// MaxHeaderBytes bounds the size of the header of a request and of a response.
 const MaxHeaderBytes = 64 << 10
 
-// Outcome is what a caller is told about its request.
+// Outcome tells a caller whether its request was run.
 type Outcome string
 
 const (
-	// OutcomeDone means that the answer is the upstream's whole answer.
+	// OutcomeDone means that the response is the complete response of the upstream.
 	OutcomeDone Outcome = "done"
-	// OutcomeNotRun means that no upstream has run the request, which is proved.
+	// OutcomeNotRun means that no upstream has run the request, provably.
 	OutcomeNotRun Outcome = "not-run"
 	// OutcomeUnknown means that an upstream may or may not have run the request.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Reason says why a request was refused or why its outcome is unknown.
+// Reason tells why a request was refused or why its outcome is unknown.
 type Reason string
 
-// The reasons.
 const (
 	ReasonNone              Reason = ""
 	ReasonNoRoute           Reason = "no-route"
--- a/protocol/fields.go
+++ b/protocol/header_fields.go
@@ -9,16 +9,17 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// HeaderFields are the header fields of a request or an answer, by canonical name. On the wire the usual names take one byte:
-// between two nodes, the head of a small call is longer than its body, and links between zones are charged by the byte.
+// HeaderFields are the header fields of a request or a response, by canonical name. Their encoding is compact: in small
+// calls between nodes, the metadata is longer than the body, and traffic between zones is charged by the byte.
 //
-// The encoding is a list of fields in the order of their names: the index of a usual name, or 0 and the name; the number
-// of values; and the values. Numbers are unsigned varints, and texts are preceded by their length.
+// The encoding is the list of fields, sorted by name. Each field consists of the index of its name in staticNames, or 0
+// and the name, then the number of values, then the values. Numbers are unsigned varints, and strings have their length
+// before them.
 type HeaderFields map[string][]string
 
-// usualNames are the names that are sent as their index, counted from 1. Names are only ever appended: processes of
-// neighbouring releases understand each other's indices.
-var usualNames = []string{
+// staticNames are the frequent names, which are sent as their index, counted from 1. New names may only be appended,
+// since processes of adjacent releases must agree on the indices.
+var staticNames = []string{
 	"Accept", "Accept-Encoding", "Accept-Language", "Authorization", "Cache-Control", "Content-Encoding",
 	"Content-Language", "Content-Length", "Content-Type", "Cookie", "Date", "Etag", "Expires", "If-Match",
 	"If-Modified-Since", "If-None-Match", "Last-Modified", "Location", "Origin", "Range", "Referer", "Retry-After",
@@ -26,9 +27,9 @@
 	"X-Forwarded-Proto", "X-Request-Id", HeaderIdempotencyKey, HeaderOutcome, HeaderReason,
 }
 
-var usualIndices = func() map[string]uint64 {
-	indices := make(map[string]uint64, len(usualNames))
-	for i, name := range usualNames {
+var staticIndices = func() map[string]uint64 {
+	indices := make(map[string]uint64, len(staticNames))
+	for i, name := range staticNames {
 		indices[name] = uint64(i + 1)
 	}
 	return indices
@@ -38,7 +39,7 @@
 func (f HeaderFields) MarshalCBOR() ([]byte, error) {
 	var data []byte
 	for _, name := range slices.Sorted(maps.Keys(f)) {
-		index := usualIndices[name]
+		index := staticIndices[name]
 		data = binary.AppendUvarint(data, index)
 		if index == 0 {
 			data = appendText(data, name)
@@ -51,6 +52,7 @@
 	return encoder.Marshal(data)
 }
 
+// appendText appends a string with its length before it.
 func appendText(data []byte, text string) []byte {
 	return append(binary.AppendUvarint(data, uint64(len(text))), text...)
 }
@@ -77,7 +79,7 @@
 	return nil
 }
 
-// fieldReader consumes encoded fields. After its first error it returns zero values.
+// fieldReader reads encoded fields. After its first error, all its methods return zero values.
 type fieldReader struct {
 	data []byte
 	err  error
@@ -93,7 +95,7 @@
 func (r *fieldReader) number() uint64 {
 	number, length := binary.Uvarint(r.data)
 	if length <= 0 {
-		r.fail("a number is cut off or too large")
+		r.fail("a number is truncated or too large")
 		return 0
 	}
 	r.data = r.data[length:]
@@ -103,7 +105,7 @@
 func (r *fieldReader) text() string {
 	length := r.number()
 	if length > uint64(len(r.data)) {
-		r.fail("a text is longer than the message")
+		r.fail("a string is longer than the rest of the message")
 		return ""
 	}
 	text := string(r.data[:length])
@@ -116,18 +118,18 @@
 	switch {
 	case index == 0:
 		return r.text()
-	case index > uint64(len(usualNames)):
-		r.fail("an unknown name")
+	case index > uint64(len(staticNames)):
+		r.fail("the index of a name is unknown")
 		return ""
 	default:
-		return usualNames[index-1]
+		return staticNames[index-1]
 	}
 }
 
 func (r *fieldReader) values() []string {
 	count := r.number()
-	if count > uint64(len(r.data)) { // A value takes a byte at least.
-		r.fail("more values than bytes")
+	if count > uint64(len(r.data)) { // a value takes at least one byte
+		r.fail("there are more values than bytes")
 		return nil
 	}
 	values := make([]string, 0, count)
--- a/protocol/operator/attempt.go
+++ b/protocol/operator/attempt.go
@@ -16,37 +16,37 @@
 	"github.com/cockroachdb/errors"
 )
 
-// exchange is one request with its resends.
-type exchange struct {
+// apiRequest is one request with its resends.
+type apiRequest struct {
 	client  *Client
 	method  string
 	path    string
 	body    []byte
 	timeout time.Duration
-	// uncertain is set once a change may have taken effect without a definite answer.
-	uncertain bool
-	// last is the latest error that is worth another attempt.
-	last error
+	// maybeApplied is set once a change may have taken effect without a definite answer.
+	maybeApplied bool
+	// lastError is the latest error that is worth another attempt.
+	lastError error
 }
 
-func change[A any](ctx context.Context, c *Client, path string, request any, timeout time.Duration) (A, error) {
+func sendChange[A any](ctx context.Context, c *Client, path string, request any, timeout time.Duration) (A, error) {
 	var answer A
 	body, err := json.Marshal(request)
 	if err != nil {
 		return answer, errors.Wrap(err, "operator: encode request")
 	}
-	e := exchange{client: c, method: http.MethodPost, path: path, body: body, timeout: timeout}
+	e := apiRequest{client: c, method: http.MethodPost, path: path, body: body, timeout: timeout}
 	return answer, e.run(ctx, &answer)
 }
 
-func read[A any](ctx context.Context, c *Client, path string) (A, error) {
+func sendRead[A any](ctx context.Context, c *Client, path string) (A, error) {
 	var answer A
-	e := exchange{client: c, method: http.MethodGet, path: path, timeout: c.config.AttemptTimeout}
+	e := apiRequest{client: c, method: http.MethodGet, path: path, timeout: c.config.AttemptTimeout}
 	return answer, e.run(ctx, &answer)
 }
 
 // run tries all addresses, round by round, until one gives a definite answer.
-func (e *exchange) run(ctx context.Context, answer any) error {
+func (e *apiRequest) run(ctx context.Context, answer any) error {
 	wait := e.client.config.RetryWait
 	for round := range e.client.config.Rounds {
 		if round > 0 && !e.client.pause(ctx, wait) {
@@ -55,16 +55,16 @@
 		if round > 0 {
 			wait *= 2
 		}
-		if done, err := e.round(ctx, answer); done {
+		if done, err := e.tryAddresses(ctx, answer); done {
 			return err
 		}
 	}
-	return e.failure(ctx)
+	return e.finalError(ctx)
 }
 
-// round tries each address once, and the leaders that answers name.
-func (e *exchange) round(ctx context.Context, answer any) (done bool, err error) {
-	queue := e.client.order()
+// tryAddresses tries each address once, and the leaders that answers name.
+func (e *apiRequest) tryAddresses(ctx context.Context, answer any) (done bool, err error) {
+	queue := e.client.addressesInOrder()
 	follows := 0
 	for len(queue) > 0 && ctx.Err() == nil {
 		address := queue[0]
@@ -74,8 +74,8 @@
 			e.client.prefer(address)
 			return true, err
 		}
-		e.note(address, err)
-		if leader := leaderOf(err); leader != "" && leader != address && follows < maxFollows {
+		e.recordFailure(address, err)
+		if leader := leaderOf(err); leader != "" && leader != address && follows < maxLeaderRedirects {
 			follows++
 			queue = slices.DeleteFunc(queue, func(other string) bool { return other == leader })
 			queue = slices.Insert(queue, 0, leader)
@@ -100,31 +100,31 @@
 	return detailed.Leader
 }
 
-func (e *exchange) note(address string, err error) {
+func (e *apiRequest) recordFailure(address string, err error) {
 	if e.method == http.MethodPost && errors.IsAny(err, ErrOutcomeUnknown, ErrInternal) {
-		e.uncertain = true
+		e.maybeApplied = true
 	}
 	// An answer says more than a failure to connect to another address.
-	if e.last == nil || !errors.Is(err, ErrUnreachable) || errors.Is(e.last, ErrUnreachable) {
-		e.last = errors.Wrapf(err, "%s", address)
+	if e.lastError == nil || !errors.Is(err, ErrUnreachable) || errors.Is(e.lastError, ErrUnreachable) {
+		e.lastError = errors.Wrapf(err, "%s", address)
 	}
 }
 
-// failure returns the error after the last attempt.
-func (e *exchange) failure(ctx context.Context) error {
+// finalError returns the error after the last attempt.
+func (e *apiRequest) finalError(ctx context.Context) error {
 	message := "no attempt was made"
-	if e.last != nil {
-		message = e.last.Error()
+	if e.lastError != nil {
+		message = e.lastError.Error()
 	}
 	if ctx.Err() != nil {
 		message = fmt.Sprintf("%v; last attempt: %s", ctx.Err(), message)
 	}
 	switch {
-	case e.uncertain:
+	case e.maybeApplied:
 		return &Error{Kind: ErrOutcomeUnknown, Message: message}
-	case errors.Is(e.last, ErrInternal):
+	case errors.Is(e.lastError, ErrInternal):
 		return &Error{Kind: ErrInternal, Message: message}
-	case errors.IsAny(e.last, ErrNoQuorum, ErrNotLeader):
+	case errors.IsAny(e.lastError, ErrNoQuorum, ErrNotLeader):
 		return &Error{Kind: ErrNoQuorum, Message: message}
 	default:
 		return &Error{Kind: ErrUnreachable, Message: message}
@@ -132,7 +132,7 @@
 }
 
 // attempt sends the request to one address.
-func (e *exchange) attempt(ctx context.Context, address string, answer any) error {
+func (e *apiRequest) attempt(ctx context.Context, address string, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, e.timeout)
 	defer cancel()
 	url := e.client.scheme + "://" + address + e.path
@@ -151,31 +151,31 @@
 		return &Error{Kind: ErrUnreachable, Message: err.Error()}
 	}
 	if err != nil {
-		return e.lost(err.Error())
+		return e.lostResponse(err.Error())
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
-	if err != nil || len(data) > maxAnswerBytes {
-		return e.lost(fmt.Sprintf("answer of %d bytes is incomplete: %v", len(data), err))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
+	if err != nil || len(data) > maxResponseBytes {
+		return e.lostResponse(fmt.Sprintf("answer of %d bytes is incomplete: %v", len(data), err))
 	}
 	if response.StatusCode != http.StatusOK {
-		return answerError(response.StatusCode, data)
+		return responseError(response.StatusCode, data)
 	}
 	if err := json.Unmarshal(data, answer); err != nil {
-		return e.lost(fmt.Sprintf("answer cannot be decoded: %v", err))
+		return e.lostResponse(fmt.Sprintf("answer cannot be decoded: %v", err))
 	}
 	return nil
 }
 
-// lost returns the error for a lost answer. Only a change can have taken effect.
-func (e *exchange) lost(message string) error {
+// lostResponse returns the error for a lostResponse answer. Only a change can have taken effect.
+func (e *apiRequest) lostResponse(message string) error {
 	if e.method == http.MethodPost {
 		return &Error{Kind: ErrOutcomeUnknown, Message: message}
 	}
 	return &Error{Kind: ErrUnreachable, Message: message}
 }
 
-func answerError(status int, data []byte) error {
+func responseError(status int, data []byte) error {
 	var body errorBody
 	kind, ok := ErrInternal, false
 	if json.Unmarshal(data, &body) == nil {
@@ -187,8 +187,8 @@
 	return &Error{Kind: kind, Message: body.Message, Leader: body.Leader, Winner: body.Winner, Problems: body.Problems}
 }
 
-// order returns the addresses, the one that answered last first.
-func (c *Client) order() []string {
+// addressesInOrder returns the addresses, the one that answered last first.
+func (c *Client) addressesInOrder() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := slices.Clone(c.config.Addresses)
@@ -205,8 +205,8 @@
 	c.preferred = address
 }
 
-// rotate prefers the address after the one that answered last.
-func (c *Client) rotate() {
+// preferNext prefers the address after the one that answered last.
+func (c *Client) preferNext() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next := slices.Index(c.config.Addresses, c.preferred) + 1
--- a/protocol/operator/backend.go
+++ b/protocol/operator/backend.go
@@ -135,8 +135,8 @@
 
 // require returns an error that names the first empty field. Fields are pairs of name and value.
 func require(requestID string, fields ...string) error {
-	if requestID == "" || len(requestID) > maxRequestID {
-		return badRequest("request_id: allowed: 1 to %d characters", maxRequestID)
+	if requestID == "" || len(requestID) > maxRequestIDLength {
+		return badRequest("request_id: allowed: 1 to %d characters", maxRequestIDLength)
 	}
 	for i := 0; i+1 < len(fields); i += 2 {
 		if fields[i+1] == "" {
--- a/protocol/operator/client.go
+++ b/protocol/operator/client.go
@@ -29,9 +29,9 @@
 	DefaultRounds = 4
 	// DefaultRetryWait is the wait after the first round. It doubles after each further round.
 	DefaultRetryWait = 200 * time.Millisecond
-	// maxFollows bounds the answers that name a leader which are followed in one round, as members that disagree
+	// maxLeaderRedirects bounds the answers that name a leader which are followed in one round, as members that disagree
 	// during an election can name each other.
-	maxFollows = 3
+	maxLeaderRedirects = 3
 )
 
 // ClientConfig configures a client.
@@ -126,8 +126,8 @@
 	return hex.EncodeToString(id)
 }
 
-// orNew returns the identifier, or a new one if it is empty. The identifier is fixed before the first attempt.
-func orNew(requestID string) string {
+// requestIDOrNew returns the identifier, or a new one if it is empty. The identifier is fixed before the first attempt.
+func requestIDOrNew(requestID string) string {
 	if requestID == "" {
 		return NewRequestID()
 	}
@@ -136,26 +136,26 @@
 
 // Stage implements Backend.
 func (c *Client) Stage(ctx context.Context, r StageRequest) (Decision, error) {
-	r.RequestID = orNew(r.RequestID)
-	return change[Decision](ctx, c, PathStage, r, c.config.AttemptTimeout)
+	r.RequestID = requestIDOrNew(r.RequestID)
+	return sendChange[Decision](ctx, c, PathStage, r, c.config.AttemptTimeout)
 }
 
 // Approve implements Backend.
 func (c *Client) Approve(ctx context.Context, r ApproveRequest) (Decision, error) {
-	r.RequestID = orNew(r.RequestID)
-	return change[Decision](ctx, c, PathApprove, r, c.config.AttemptTimeout)
+	r.RequestID = requestIDOrNew(r.RequestID)
+	return sendChange[Decision](ctx, c, PathApprove, r, c.config.AttemptTimeout)
 }
 
 // Stop implements Backend.
 func (c *Client) Stop(ctx context.Context, r StopRequest) (Decision, error) {
-	r.RequestID = orNew(r.RequestID)
-	return change[Decision](ctx, c, PathStop, r, c.config.AttemptTimeout)
+	r.RequestID = requestIDOrNew(r.RequestID)
+	return sendChange[Decision](ctx, c, PathStop, r, c.config.AttemptTimeout)
 }
 
 // Replace implements Backend.
 func (c *Client) Replace(ctx context.Context, r ReplaceRequest) (Decision, error) {
-	r.RequestID = orNew(r.RequestID)
-	return change[Decision](ctx, c, PathReplace, r, c.config.AttemptTimeout)
+	r.RequestID = requestIDOrNew(r.RequestID)
+	return sendChange[Decision](ctx, c, PathReplace, r, c.config.AttemptTimeout)
 }
 
 // Status implements Backend. A member on the far side of a partition answers with an old state, so the members are asked
@@ -163,7 +163,7 @@
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var best Status
 	for i := range c.config.Addresses {
-		status, err := read[Status](ctx, c, PathStatus)
+		status, err := sendRead[Status](ctx, c, PathStatus)
 		if err != nil && i > 0 {
 			return best, nil
 		}
@@ -173,7 +173,7 @@
 		if i == 0 || fresher(status.ConfirmedAgeMs, best.ConfirmedAgeMs) {
 			best = status
 		}
-		c.rotate()
+		c.preferNext()
 	}
 	return best, nil
 }
@@ -188,44 +188,44 @@
 	if limit == 0 {
 		limit = DefaultHistoryLimit
 	}
-	return read[HistoryResponse](ctx, c, PathHistory+"?limit="+strconv.Itoa(limit))
+	return sendRead[HistoryResponse](ctx, c, PathHistory+"?limit="+strconv.Itoa(limit))
 }
 
 // Members implements Backend.
 func (c *Client) Members(ctx context.Context) (MembersResponse, error) {
-	return read[MembersResponse](ctx, c, PathMembers)
+	return sendRead[MembersResponse](ctx, c, PathMembers)
 }
 
 // AddMember implements Backend.
 func (c *Client) AddMember(ctx context.Context, r AddMemberRequest) (MembersResponse, error) {
-	r.RequestID = orNew(r.RequestID)
-	return change[MembersResponse](ctx, c, PathMemberAdd, r, membershipAttemptTimeout)
+	r.RequestID = requestIDOrNew(r.RequestID)
+	return sendChange[MembersResponse](ctx, c, PathMemberAdd, r, membershipAttemptTimeout)
 }
 
 // RemoveMember implements Backend.
 func (c *Client) RemoveMember(ctx context.Context, r RemoveMemberRequest) (MembersResponse, error) {
-	r.RequestID = orNew(r.RequestID)
-	return change[MembersResponse](ctx, c, PathMemberRemove, r, membershipAttemptTimeout)
+	r.RequestID = requestIDOrNew(r.RequestID)
+	return sendChange[MembersResponse](ctx, c, PathMemberRemove, r, membershipAttemptTimeout)
 }
 
 // ReplaceMember implements Backend.
 func (c *Client) ReplaceMember(ctx context.Context, r ReplaceMemberRequest) (MembersResponse, error) {
-	r.RequestID = orNew(r.RequestID)
-	return change[MembersResponse](ctx, c, PathMemberReplace, r, membershipAttemptTimeout)
+	r.RequestID = requestIDOrNew(r.RequestID)
+	return sendChange[MembersResponse](ctx, c, PathMemberReplace, r, membershipAttemptTimeout)
 }
 
 // Quarantine implements Backend.
 func (c *Client) Quarantine(ctx context.Context) (QuarantineResponse, error) {
-	return read[QuarantineResponse](ctx, c, PathQuarantine)
+	return sendRead[QuarantineResponse](ctx, c, PathQuarantine)
 }
 
 // ClearQuarantine implements Backend.
 func (c *Client) ClearQuarantine(ctx context.Context, r ClearQuarantineRequest) (ClearQuarantineResponse, error) {
-	r.RequestID = orNew(r.RequestID)
-	return change[ClearQuarantineResponse](ctx, c, PathQuarantineClear, r, c.config.AttemptTimeout)
+	r.RequestID = requestIDOrNew(r.RequestID)
+	return sendChange[ClearQuarantineResponse](ctx, c, PathQuarantineClear, r, c.config.AttemptTimeout)
 }
 
 // Dump implements Backend.
 func (c *Client) Dump(ctx context.Context) (DumpResponse, error) {
-	return read[DumpResponse](ctx, c, PathDump)
+	return sendRead[DumpResponse](ctx, c, PathDump)
 }
--- a/protocol/operator/operator_test.go
+++ b/protocol/operator/operator_test.go
@@ -34,24 +34,24 @@
 
 var key = ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 
-// member is a stand-in for a control member over a registry. Methods that a test does not need panic.
-type member struct {
+// fakeMember is a stand-in for a control fakeMember over a registry. Methods that a test does not need panic.
+type fakeMember struct {
 	operator.Backend
 	mu       sync.Mutex
 	registry *registry.Registry
 	index    uint64
 	err      error
 	calls    int
-	// confirmed is the age of the member's state in milliseconds.
-	confirmed int64
+	// confirmedAgeMs is the age of the member's state in milliseconds.
+	confirmedAgeMs int64
 }
 
-func newMember() *member {
+func newMember() *fakeMember {
 	keys := map[string][]ed25519.PublicKey{"ana": {key.Public().(ed25519.PublicKey)}}
-	return &member{registry: registry.New(bundle.NewKeyring(keys))}
+	return &fakeMember{registry: registry.New(bundle.NewKeyring(keys))}
 }
 
-func (m *member) apply(c registry.Command) (operator.Decision, error) {
+func (m *fakeMember) apply(c registry.Command) (operator.Decision, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.calls++
@@ -62,30 +62,30 @@
 	return operator.DecisionFromResult(m.registry.Apply(m.index, c))
 }
 
-func (m *member) Stage(_ context.Context, r operator.StageRequest) (operator.Decision, error) {
+func (m *fakeMember) Stage(_ context.Context, r operator.StageRequest) (operator.Decision, error) {
 	return m.apply(registry.Command{RequestID: r.RequestID, Stage: &registry.Stage{
 		Version: r.Version, Digest: r.Digest, Operator: r.Operator, Update: r.Update}})
 }
 
-func (m *member) Approve(_ context.Context, r operator.ApproveRequest) (operator.Decision, error) {
+func (m *fakeMember) Approve(_ context.Context, r operator.ApproveRequest) (operator.Decision, error) {
 	return m.apply(registry.Command{RequestID: r.RequestID, Approve: &r.Approval})
 }
 
-func (m *member) Stop(_ context.Context, r operator.StopRequest) (operator.Decision, error) {
+func (m *fakeMember) Stop(_ context.Context, r operator.StopRequest) (operator.Decision, error) {
 	return m.apply(registry.Command{RequestID: r.RequestID, Stop: &r.Stop})
 }
 
-func (m *member) Status(context.Context) (operator.Status, error) {
-	return operator.Status{Member: "m1", ConfirmedAgeMs: m.confirmed, Zones: []operator.ZoneStatus{{Zone: "a", Proxies: 3, AgeMs: operator.AgeUnknown,
+func (m *fakeMember) Status(context.Context) (operator.Status, error) {
+	return operator.Status{Member: "m1", ConfirmedAgeMs: m.confirmedAgeMs, Zones: []operator.ZoneStatus{{Zone: "a", Proxies: 3, AgeMs: operator.AgeUnknown,
 		Lagging: []operator.LaggingProxy{{ID: "n1", Version: 4, Reason: "parts missing"}}}}}, m.err
 }
 
-func (m *member) History(_ context.Context, r operator.HistoryRequest) (operator.HistoryResponse, error) {
+func (m *fakeMember) History(_ context.Context, r operator.HistoryRequest) (operator.HistoryResponse, error) {
 	return operator.HistoryResponse{Records: make([]registry.HistoryRecord, r.Limit)}, nil
 }
 
-// losing drops the connection after the first n requests were handled, as a crash after the commit does.
-func losing(n int, inner http.Handler) http.Handler {
+// loseResponses drops the connection after the first n requests were handled, as a crash after the commit does.
+func loseResponses(n int, inner http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n > 0 {
 			n--
@@ -102,7 +102,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func clientOf(addresses ...string) *operator.Client {
+func newClient(addresses ...string) *operator.Client {
 	client, err := operator.NewClient(operator.ClientConfig{
 		Addresses: addresses, RetryWait: time.Millisecond, Rounds: 2, Rand: rand.New(rand.NewSource(seed)),
 	})
@@ -146,7 +146,7 @@
 			},
 		} {
 			before := m.index
-			decision, err := call(clientOf(serve(losing(1, handler))))
+			decision, err := call(newClient(serve(loseResponses(1, handler))))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(decision.Index).To(Equal(before+1), "the answer is that of the request whose answer was lost")
 			Expect(m.index).To(Equal(before + 2))
@@ -158,7 +158,7 @@
 		leader := serve(operator.NewHandler(newMember()))
 		follower := newMember()
 		follower.err = &operator.Error{Kind: operator.ErrNotLeader, Leader: leader}
-		client := clientOf(closedAddress(), serve(operator.NewHandler(follower)))
+		client := newClient(closedAddress(), serve(operator.NewHandler(follower)))
 		decision, err := client.Stage(ctx, stageRequest())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(decision.Effect).To(Equal(registry.EffectStaged))
@@ -169,19 +169,19 @@
 		first, second := serve(operator.NewHandler(one)), serve(operator.NewHandler(two))
 		one.err = &operator.Error{Kind: operator.ErrNotLeader, Leader: second}
 		two.err = &operator.Error{Kind: operator.ErrNotLeader, Leader: first}
-		_, err := clientOf(first, second).Stage(ctx, stageRequest())
+		_, err := newClient(first, second).Stage(ctx, stageRequest())
 		Expect(err).To(MatchError(operator.ErrNoQuorum))
 		Expect(one.calls+two.calls).To(BeNumerically("<=", 2*(2+3)), "two rounds of two addresses and three follows")
 	})
 
 	It("never reports a change as not accepted when it may have taken effect", func() {
 		m := newMember()
-		address := serve(losing(100, operator.NewHandler(m)))
-		_, err := clientOf(address).Stage(ctx, stageRequest())
+		address := serve(loseResponses(100, operator.NewHandler(m)))
+		_, err := newClient(address).Stage(ctx, stageRequest())
 		Expect(err).To(MatchError(operator.ErrOutcomeUnknown))
-		_, err = clientOf(address).Status(ctx)
+		_, err = newClient(address).Status(ctx)
 		Expect(err).To(MatchError(operator.ErrUnreachable))
-		_, err = clientOf(closedAddress()).Stage(ctx, stageRequest())
+		_, err = newClient(closedAddress()).Stage(ctx, stageRequest())
 		Expect(err).To(MatchError(operator.ErrUnreachable))
 	})
 
@@ -194,7 +194,7 @@
 			m := newMember()
 			m.err = &operator.Error{Kind: kind, Message: "why", Winner: &winner,
 				Problems: bundle.Problems{{Field: "f", Value: "v", Allowed: "a"}}}
-			_, err := clientOf(serve(operator.NewHandler(m))).Approve(ctx, approveRequest(1))
+			_, err := newClient(serve(operator.NewHandler(m))).Approve(ctx, approveRequest(1))
 			Expect(err).To(MatchError(kind))
 			var detailed *operator.Error
 			Expect(errors.As(err, &detailed)).To(BeTrue())
@@ -205,24 +205,24 @@
 		}
 		m := newMember()
 		m.err = errors.New("disk on fire")
-		_, err := clientOf(serve(operator.NewHandler(m))).Status(ctx)
+		_, err := newClient(serve(operator.NewHandler(m))).Status(ctx)
 		Expect(err).To(MatchError(operator.ErrInternal))
 	})
 
 	It("prefers the status of a member that a quorum confirmed over that of a partitioned one", func() {
 		cut, old, good := newMember(), newMember(), newMember()
-		cut.confirmed, old.confirmed = operator.AgeUnknown, 2*operator.MaxFreshAgeMs
+		cut.confirmedAgeMs, old.confirmedAgeMs = operator.AgeUnknown, 2*operator.MaxFreshAgeMs
 		first, second := serve(operator.NewHandler(cut)), serve(operator.NewHandler(old))
-		status, err := clientOf(first, second, serve(operator.NewHandler(good))).Status(ctx)
+		status, err := newClient(first, second, serve(operator.NewHandler(good))).Status(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status.ConfirmedAgeMs).To(BeZero())
-		status, err = clientOf(first, second).Status(ctx)
+		status, err = newClient(first, second).Status(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(status.ConfirmedAgeMs).To(Equal(old.confirmed))
+		Expect(status.ConfirmedAgeMs).To(Equal(old.confirmedAgeMs))
 	})
 
 	It("reads status and history", func() {
-		client := clientOf(serve(operator.NewHandler(newMember())))
+		client := newClient(serve(operator.NewHandler(newMember())))
 		status, err := client.Status(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status.Zones[0].Lagging[0].Reason).To(Equal("parts missing"))
--- a/protocol/operator/wire.go
+++ b/protocol/operator/wire.go
@@ -15,14 +15,14 @@
 	maxRequestBytes = registry.MaxUpdateBytes/3*4 + 64<<10
 	// maxSmallRequestBytes bounds all requests but stage.
 	maxSmallRequestBytes = 64 << 10
-	// maxAnswerBytes bounds an answer that a client reads. The history and the dump are the largest.
-	maxAnswerBytes = 64 << 20
+	// maxResponseBytes bounds an answer that a client reads. The history and the dump are the largest.
+	maxResponseBytes = 64 << 20
 	// DefaultHistoryLimit is the number of history records if the request sets no limit.
 	DefaultHistoryLimit = 100
 	// MaxHistoryLimit bounds the number of history records in one answer.
 	MaxHistoryLimit = 2000
-	// maxRequestID bounds the length of a request identifier; the registry has the same bound.
-	maxRequestID = 64
+	// maxRequestIDLength bounds the length of a request identifier; the registry has the same bound.
+	maxRequestIDLength = 64
 )
 
 // errorBody is the JSON form of an error answer.
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -47,42 +47,43 @@
 	}}}
 )
 
-func encoded(message any) []byte {
+func mustMarshal(message any) []byte {
 	data, err := protocol.Marshal(message)
 	Expect(err).NotTo(HaveOccurred())
 	return data
 }
 
-// Guards against fields that are lost or change on the wire and in the log.
-func roundTrip[T any](message T) {
-	data := encoded(message)
-	Expect(encoded(message)).To(Equal(data))
+// expectRoundTrip guards against fields that are lost or changed by the codec, and against truncated or extended
+// messages that decode.
+func expectRoundTrip[T any](message T) {
+	data := mustMarshal(message)
+	Expect(mustMarshal(message)).To(Equal(data))
 	var decoded T
 	Expect(protocol.Unmarshal(data, &decoded)).To(Succeed())
 	Expect(decoded).To(Equal(message))
 	for length := range len(data) {
-		var cut T
-		Expect(protocol.Unmarshal(data[:length], &cut)).To(MatchError(protocol.ErrMalformed))
+		var truncated T
+		Expect(protocol.Unmarshal(data[:length], &truncated)).To(MatchError(protocol.ErrMalformed))
 	}
 	var extended T
 	Expect(protocol.Unmarshal(append(data, 0), &extended)).To(MatchError(protocol.ErrMalformed))
 }
 
 var _ = Describe("the codec", func() {
-	It("keeps FollowFrame", func() { roundTrip(follow) })
-	It("keeps CallFrame", func() { roundTrip(call) })
-	It("keeps ReplyFrame", func() { roundTrip(reply) })
-	It("keeps StepFrame", func() { roundTrip(step) })
+	It("encodes and decodes FollowFrame", func() { expectRoundTrip(follow) })
+	It("encodes and decodes CallFrame", func() { expectRoundTrip(call) })
+	It("encodes and decodes ReplyFrame", func() { expectRoundTrip(reply) })
+	It("encodes and decodes StepFrame", func() { expectRoundTrip(step) })
 
-	// Guards against heads that are several times as long as a small answer: most calls have neither a body nor a key, and
-	// links between zones are charged by the byte.
-	It("sends no usual header name and no empty digest with a call", func() {
-		head := protocol.CallMetadata{Header: protocol.HeaderFields{
+	// Guards against metadata that is several times as long as a small response: most calls have neither a body nor a
+	// key, and traffic between zones is charged by the byte.
+	It("encodes frequent header names as an index, and no empty digest", func() {
+		metadata := protocol.CallMetadata{Header: protocol.HeaderFields{
 			"Accept": {"*/*"}, "Accept-Encoding": {"identity"}, "X-Request-Id": {"1"}, "User-Agent": {"client"}, "X-Own": {"2"},
 		}}
-		data := encoded(head)
+		data := mustMarshal(metadata)
 		Expect(data).To(ContainSubstring("X-Own"))
-		for name := range head.Header {
+		for name := range metadata.Header {
 			if name != "X-Own" {
 				Expect(data).NotTo(ContainSubstring(name))
 			}
@@ -92,26 +93,26 @@
 
 	DescribeTable("refuses header fields that are", func(fields []byte) {
 		var decoded protocol.HeaderFields
-		Expect(protocol.Unmarshal(encoded(fields), &decoded)).To(MatchError(protocol.ErrMalformed))
+		Expect(protocol.Unmarshal(mustMarshal(fields), &decoded)).To(MatchError(protocol.ErrMalformed))
 		Expect(decoded).To(BeNil())
 	},
-		Entry("cut off in a number", []byte{0x80}),
-		Entry("cut off in a name", []byte{0, 5, 'X'}),
-		Entry("cut off in a value", []byte{1, 1, 3, 'a'}),
-		Entry("of a name that no release has", []byte{0x7f, 0}),
+		Entry("truncated in a number", []byte{0x80}),
+		Entry("truncated in a name", []byte{0, 5, 'X'}),
+		Entry("truncated in a value", []byte{1, 1, 3, 'a'}),
+		Entry("of an unknown index of a name", []byte{0x7f, 0}),
 		Entry("of more values than the message can hold", []byte{1, 0xff, 0xff, 0xff, 0x7f}),
 		Entry("repeated", []byte{1, 0, 1, 0}),
 	)
 
-	// Guards against releases that refuse each other's messages.
+	// Guards against a release that refuses messages with fields that a later release has added.
 	It("ignores fields of a later release", func() {
 		var decoded protocol.CallFrame
-		Expect(protocol.Unmarshal(encoded(map[int]any{3: true, 99: "new"}), &decoded)).To(Succeed())
+		Expect(protocol.Unmarshal(mustMarshal(map[int]any{3: true, 99: "new"}), &decoded)).To(Succeed())
 		Expect(decoded).To(Equal(protocol.CallFrame{Last: true}))
 	})
 
 	// Guards against a few corrupt bytes that make a process allocate without limit or exhaust its stack.
-	DescribeTable("refuses what exceeds its bounds", func(data []byte) {
+	DescribeTable("refuses messages that exceed a limit", func(data []byte) {
 		Expect(protocol.Unmarshal(data, new(protocol.StepFrame))).To(MatchError(protocol.ErrMalformed))
 		Expect(protocol.Unmarshal(data, new(any))).To(MatchError(protocol.ErrMalformed))
 	},
@@ -122,21 +123,22 @@
 		Entry("one array element too many", append([]byte{0xa1, 0x02, 0x9a, 0, 0x10, 0, 1}, make([]byte, 1<<20+1)...)),
 	)
 
-	// Guards against crash reports whose age is that of their first hop.
-	It("takes a crash report's age from the tree", func() {
-		packed, err := protocol.EncodeCrashReport(quarantine.Report{Upstream: "u", Sequence: 2, Age: time.Second})
+	// Guards against crash reports that keep the age that they had when they were sent: the tree updates it at each
+	// hop.
+	It("takes the age of a crash report from the message of the tree", func() {
+		encoded, err := protocol.EncodeCrashReport(quarantine.Report{Upstream: "u", Sequence: 2, Age: time.Second})
 		Expect(err).NotTo(HaveOccurred())
-		packed.AgeMs = 5000
-		report, err := protocol.DecodeCrashReport(packed)
+		encoded.AgeMs = 5000
+		report, err := protocol.DecodeCrashReport(encoded)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(report.Age).To(Equal(5 * time.Second))
-		packed.Payload = []byte{0xff}
-		_, err = protocol.DecodeCrashReport(packed)
+		encoded.Payload = []byte{0xff}
+		_, err = protocol.DecodeCrashReport(encoded)
 		Expect(err).To(MatchError(protocol.ErrMalformed))
 	})
 })
 
-// fuzz checks that no input makes the decoder panic, and that what it accepts has one encoding.
+// fuzz checks that no input makes the decoder panic, and that a message that it accepts is encoded in only one way.
 func fuzz[T any](f *testing.F, seed T) {
 	data, err := protocol.Marshal(seed)
 	if err != nil {
@@ -148,15 +150,15 @@
 		if protocol.Unmarshal(data, &first) != nil {
 			return
 		}
-		once, err := protocol.Marshal(first)
+		encoded, err := protocol.Marshal(first)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := protocol.Unmarshal(once, &second); err != nil {
+		if err := protocol.Unmarshal(encoded, &second); err != nil {
 			t.Fatal(err)
 		}
-		if twice, err := protocol.Marshal(second); err != nil || !bytes.Equal(once, twice) {
-			t.Fatalf("%x became %x: %v", once, twice, err)
+		if reencoded, err := protocol.Marshal(second); err != nil || !bytes.Equal(encoded, reencoded) {
+			t.Fatalf("%x became %x: %v", encoded, reencoded, err)
 		}
 	})
 }
