--- a/protocol/operator/attempt.go
+++ b/protocol/operator/attempt.go
@@ -16,37 +16,39 @@
 	"github.com/cockroachdb/errors"
 )
 
-// apiRequest is one request with its resends.
+// apiRequest is one request to the API with its retries.
 type apiRequest struct {
 	client  *Client
 	method  string
 	path    string
 	body    []byte
 	timeout time.Duration
-	// maybeApplied is set once a change may have taken effect without a definite answer.
+	// maybeApplied is set after an attempt at a change that may have taken effect although no response tells so.
 	maybeApplied bool
-	// lastError is the latest error that is worth another attempt.
+	// lastError is the most informative retryable error so far.
 	lastError error
 }
 
-func sendChange[A any](ctx context.Context, c *Client, path string, request any, timeout time.Duration) (A, error) {
-	var answer A
+// sendChange sends a request that changes the state of the control members. The timeout is that of one attempt.
+func sendChange[R any](ctx context.Context, c *Client, path string, request any, timeout time.Duration) (R, error) {
+	var response R
 	body, err := json.Marshal(request)
 	if err != nil {
-		return answer, errors.Wrap(err, "operator: encode request")
+		return response, errors.Wrap(err, "operator: encode request")
 	}
 	e := apiRequest{client: c, method: http.MethodPost, path: path, body: body, timeout: timeout}
-	return answer, e.run(ctx, &answer)
+	return response, e.run(ctx, &response)
 }
 
-func sendRead[A any](ctx context.Context, c *Client, path string) (A, error) {
-	var answer A
+// sendRead sends a request that changes nothing.
+func sendRead[R any](ctx context.Context, c *Client, path string) (R, error) {
+	var response R
 	e := apiRequest{client: c, method: http.MethodGet, path: path, timeout: c.config.AttemptTimeout}
-	return answer, e.run(ctx, &answer)
+	return response, e.run(ctx, &response)
 }
 
-// run tries all addresses, round by round, until one gives a definite answer.
-func (e *apiRequest) run(ctx context.Context, answer any) error {
+// run tries all addresses in several rounds until one sends a definite response, and decodes it.
+func (e *apiRequest) run(ctx context.Context, response any) error {
 	wait := e.client.config.RetryWait
 	for round := range e.client.config.Rounds {
 		if round > 0 && !e.client.pause(ctx, wait) {
@@ -55,28 +57,28 @@
 		if round > 0 {
 			wait *= 2
 		}
-		if done, err := e.tryAddresses(ctx, answer); done {
+		if done, err := e.tryAddresses(ctx, response); done {
 			return err
 		}
 	}
 	return e.finalError(ctx)
 }
 
-// tryAddresses tries each address once, and the leaders that answers name.
-func (e *apiRequest) tryAddresses(ctx context.Context, answer any) (done bool, err error) {
+// tryAddresses tries each address once, and the leaders that responses name. done is set after a definite response.
+func (e *apiRequest) tryAddresses(ctx context.Context, response any) (done bool, err error) {
 	queue := e.client.addressesInOrder()
-	follows := 0
+	redirects := 0
 	for len(queue) > 0 && ctx.Err() == nil {
 		address := queue[0]
 		queue = queue[1:]
-		err := e.attempt(ctx, address, answer)
+		err := e.attempt(ctx, address, response)
 		if err == nil || !retryable(err) {
 			e.client.prefer(address)
 			return true, err
 		}
 		e.recordFailure(address, err)
-		if leader := leaderOf(err); leader != "" && leader != address && follows < maxLeaderRedirects {
-			follows++
+		if leader := leaderOf(err); leader != "" && leader != address && redirects < maxLeaderRedirects {
+			redirects++
 			queue = slices.DeleteFunc(queue, func(other string) bool { return other == leader })
 			queue = slices.Insert(queue, 0, leader)
 		}
@@ -84,11 +86,12 @@
 	return false, nil
 }
 
-// retryable reports whether another attempt can give another answer.
+// retryable reports whether another attempt may give another result.
 func retryable(err error) bool {
 	return errors.IsAny(err, ErrNotLeader, ErrNoQuorum, ErrOutcomeUnknown, ErrUnreachable, ErrInternal)
 }
 
+// leaderOf returns the address of the leader that an error names, or an empty string.
 func leaderOf(err error) string {
 	var detailed *Error
 	if !errors.As(err, &detailed) {
@@ -100,17 +103,18 @@
 	return detailed.Leader
 }
 
+// recordFailure records a retryable error of an attempt.
 func (e *apiRequest) recordFailure(address string, err error) {
 	if e.method == http.MethodPost && errors.IsAny(err, ErrOutcomeUnknown, ErrInternal) {
 		e.maybeApplied = true
 	}
-	// An answer says more than a failure to connect to another address.
+	// The error in a response is more informative than a failure to connect to another address.
 	if e.lastError == nil || !errors.Is(err, ErrUnreachable) || errors.Is(e.lastError, ErrUnreachable) {
 		e.lastError = errors.Wrapf(err, "%s", address)
 	}
 }
 
-// finalError returns the error after the last attempt.
+// finalError returns the error of the request after its last attempt.
 func (e *apiRequest) finalError(ctx context.Context) error {
 	message := "no attempt was made"
 	if e.lastError != nil {
@@ -131,8 +135,8 @@
 	}
 }
 
-// attempt sends the request to one address.
-func (e *apiRequest) attempt(ctx context.Context, address string, answer any) error {
+// attempt sends the request to one address and decodes the response.
+func (e *apiRequest) attempt(ctx context.Context, address string, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, e.timeout)
 	defer cancel()
 	url := e.client.scheme + "://" + address + e.path
@@ -145,29 +149,29 @@
 	request = request.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	}))
-	response, err := e.client.config.HTTP.Do(request)
+	httpResponse, err := e.client.config.HTTP.Do(request)
 	if err != nil && !connected.Load() {
-		// Without a connection, after a refused dial or a failed TLS handshake, nothing was sent.
+		// Nothing was sent without a connection, as after a refused dial or a failed TLS handshake.
 		return &Error{Kind: ErrUnreachable, Message: err.Error()}
 	}
 	if err != nil {
 		return e.lostResponse(err.Error())
 	}
-	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
+	defer httpResponse.Body.Close()
+	data, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes+1))
 	if err != nil || len(data) > maxResponseBytes {
-		return e.lostResponse(fmt.Sprintf("answer of %d bytes is incomplete: %v", len(data), err))
+		return e.lostResponse(fmt.Sprintf("response of %d bytes is incomplete: %v", len(data), err))
 	}
-	if response.StatusCode != http.StatusOK {
-		return responseError(response.StatusCode, data)
+	if httpResponse.StatusCode != http.StatusOK {
+		return responseError(httpResponse.StatusCode, data)
 	}
-	if err := json.Unmarshal(data, answer); err != nil {
-		return e.lostResponse(fmt.Sprintf("answer cannot be decoded: %v", err))
+	if err := json.Unmarshal(data, response); err != nil {
+		return e.lostResponse(fmt.Sprintf("response cannot be decoded: %v", err))
 	}
 	return nil
 }
 
-// lostResponse returns the error for a lostResponse answer. Only a change can have taken effect.
+// lostResponse returns the error of an attempt without a usable response. A change may nevertheless have taken effect.
 func (e *apiRequest) lostResponse(message string) error {
 	if e.method == http.MethodPost {
 		return &Error{Kind: ErrOutcomeUnknown, Message: message}
@@ -175,6 +179,7 @@
 	return &Error{Kind: ErrUnreachable, Message: message}
 }
 
+// responseError returns the error that a response other than 200 OK describes.
 func responseError(status int, data []byte) error {
 	var body errorBody
 	kind, ok := ErrInternal, false
@@ -187,7 +192,7 @@
 	return &Error{Kind: kind, Message: body.Message, Leader: body.Leader, Winner: body.Winner, Problems: body.Problems}
 }
 
-// addressesInOrder returns the addresses, the one that answered last first.
+// addressesInOrder returns all addresses, the preferred one first.
 func (c *Client) addressesInOrder() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -205,7 +210,7 @@
 	c.preferred = address
 }
 
-// preferNext prefers the address after the one that answered last.
+// preferNext prefers the address after the preferred one.
 func (c *Client) preferNext() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -213,7 +218,8 @@
 	c.preferred = c.config.Addresses[next%len(c.config.Addresses)]
 }
 
-// pause waits for half to all of the duration. It returns false if the context ended.
+// pause waits for a random time between half of the duration and all of it. It returns false if the context ended
+// first.
 func (c *Client) pause(ctx context.Context, wait time.Duration) bool {
 	c.mu.Lock()
 	jittered := wait/2 + time.Duration(c.random.Int63n(int64(wait/2)+1))
--- a/protocol/operator/backend.go
+++ b/protocol/operator/backend.go
@@ -12,9 +12,9 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// Backend is what a control member provides to the API. Requests that change something carry a RequestID; a backend
-// gives a request that arrives again the result of the first one. Errors are those of this package: an error that is
-// none of them is answered as an internal fault.
+// Backend is the implementation of the API by a control member. Requests that change state have a RequestID; if a
+// request arrives again, the backend returns the result of the first one. The errors are those of this package; any
+// other error is sent to the client as ErrInternal.
 type Backend interface {
 	Stage(ctx context.Context, r StageRequest) (Decision, error)
 	Approve(ctx context.Context, r ApproveRequest) (Decision, error)
@@ -31,7 +31,8 @@
 	Dump(ctx context.Context) (DumpResponse, error)
 }
 
-// NewHandler returns the API over a backend. It checks the form of requests; the backend decides about their content.
+// NewHandler returns the HTTP handler of the API. It checks that requests are well-formed, and passes them to the
+// backend.
 func NewHandler(b Backend) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST "+PathStage, post(maxRequestBytes, b.Stage, checkStage))
@@ -52,22 +53,24 @@
 			writeError(w, err)
 			return
 		}
-		answer, err := b.History(r.Context(), request)
-		write(w, answer, err)
+		response, err := b.History(r.Context(), request)
+		write(w, response, err)
 	})
 	return mux
 }
 
-func get[A any](call func(context.Context) (A, error)) http.Handler {
+// get returns a handler for requests without parameters.
+func get[R any](call func(context.Context) (R, error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answer, err := call(r.Context())
-		write(w, answer, err)
+		response, err := call(r.Context())
+		write(w, response, err)
 	})
 }
 
-func post[R, A any](limit int64, call func(context.Context, R) (A, error), check func(R) error) http.Handler {
+// post returns a handler for requests with a JSON body of at most limit bytes.
+func post[Q, R any](limit int64, call func(context.Context, Q) (R, error), check func(Q) error) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var request R
+		var request Q
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, limit))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&request); err != nil {
@@ -78,22 +81,22 @@
 			writeError(w, err)
 			return
 		}
-		answer, err := call(r.Context(), request)
-		write(w, answer, err)
+		response, err := call(r.Context(), request)
+		write(w, response, err)
 	})
 }
 
-func write(w http.ResponseWriter, answer any, err error) {
+func write(w http.ResponseWriter, response any, err error) {
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, answer)
+	writeJSON(w, http.StatusOK, response)
 }
 
 func writeError(w http.ResponseWriter, err error) {
-	form := wireErrorOf(err)
-	body := errorBody{Code: form.code, Message: err.Error()}
+	wire := wireErrorOf(err)
+	body := errorBody{Code: wire.code, Message: err.Error()}
 	var detailed *Error
 	if errors.As(err, &detailed) {
 		body.Message = detailed.Message
@@ -101,7 +104,7 @@
 		body.Winner = detailed.Winner
 		body.Problems = detailed.Problems
 	}
-	writeJSON(w, form.status, body)
+	writeJSON(w, wire.status, body)
 }
 
 func writeJSON(w http.ResponseWriter, status int, value any) {
@@ -113,7 +116,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	w.WriteHeader(status)
-	// A client that went away gets no answer; it resends the request.
+	// If the write fails, the client sends the request again.
 	_, _ = w.Write(data)
 }
 
@@ -133,7 +136,7 @@
 	return &Error{Kind: ErrBadRequest, Message: fmt.Sprintf(format, args...)}
 }
 
-// require returns an error that names the first empty field. Fields are pairs of name and value.
+// require checks the length of the request ID, and that no field is empty. fields are pairs of a name and a value.
 func require(requestID string, fields ...string) error {
 	if requestID == "" || len(requestID) > maxRequestIDLength {
 		return badRequest("request_id: allowed: 1 to %d characters", maxRequestIDLength)
--- a/protocol/operator/client.go
+++ b/protocol/operator/client.go
@@ -16,59 +16,57 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Defaults of a client.
 const (
-	// DefaultAttemptTimeout bounds one attempt. It covers an election, which takes about 1 s.
+	// DefaultAttemptTimeout is long enough for an election, which takes about 1 s.
 	DefaultAttemptTimeout = 5 * time.Second
-	// dialTimeout bounds opening a connection, so that an instance that is down delays the next address only a little.
-	// Availability zones are some milliseconds apart.
+	// dialTimeout is short, so that an instance that is down does not delay the next address for long. Availability
+	// zones are some milliseconds apart.
 	dialTimeout = time.Second
-	// membershipAttemptTimeout bounds one attempt of a membership change, during which a learner catches up.
+	// membershipAttemptTimeout is the timeout of one attempt at a membership change, during which a learner catches up.
 	membershipAttemptTimeout = 2 * time.Minute
-	// DefaultRounds is the number of times that all addresses are tried.
-	DefaultRounds = 4
-	// DefaultRetryWait is the wait after the first round. It doubles after each further round.
-	DefaultRetryWait = 200 * time.Millisecond
-	// maxLeaderRedirects bounds the answers that name a leader which are followed in one round, as members that disagree
+	DefaultRounds            = 4
+	DefaultRetryWait         = 200 * time.Millisecond
+	// maxLeaderRedirects bounds how often a round follows a response to the leader that it names: members that disagree
 	// during an election can name each other.
 	maxLeaderRedirects = 3
 )
 
-// ClientConfig configures a client.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// Addresses are host:port pairs of operator APIs. They are tried in turn.
+	// Addresses are the host:port pairs of the control members' APIs. They are tried in turn.
 	Addresses []string
 	// TLS secures the connections; nil means plain HTTP, for members with insecure settings.
 	TLS *tls.Config
 	// HTTP sends the requests; nil takes a client with default settings and TLS.
 	HTTP *http.Client
-	// AttemptTimeout bounds one attempt; 0 takes DefaultAttemptTimeout.
+	// AttemptTimeout is the timeout of one attempt; 0 takes DefaultAttemptTimeout.
 	AttemptTimeout time.Duration
 	// Rounds is the number of times that all addresses are tried; 0 takes DefaultRounds.
 	Rounds int
-	// RetryWait is the wait after the first round; 0 takes DefaultRetryWait.
+	// RetryWait is the greatest pause after the first round; it doubles after each further round. 0 takes
+	// DefaultRetryWait.
 	RetryWait time.Duration
-	// Rand jitters the waits between rounds; nil takes a random seed.
+	// Rand is the source of the jitter of the pauses; nil takes one with a random seed.
 	Rand *mathrand.Rand
 }
 
 // Client sends requests to the control members. It is safe for concurrent use.
 //
-// A request whose answer is lost is sent again with the same RequestID, so that it takes effect once. When the client
-// gives up after such a loss, it returns ErrOutcomeUnknown.
+// A request whose response is lost is sent again with the same RequestID, so that it takes effect only once. If the
+// client gives up after the response to a change was lost, it returns ErrOutcomeUnknown.
 type Client struct {
 	config ClientConfig
 	scheme string
 
 	mu sync.Mutex
-	// preferred is the address that answered last.
+	// preferred is the address that is tried first: normally the one that sent the last definite response.
 	preferred string
 	random    *mathrand.Rand
 }
 
 var _ Backend = (*Client)(nil)
 
-// NewClient returns a client.
+// NewClient returns a Client. It fails if there is no address or one is not a host:port pair.
 func NewClient(c ClientConfig) (*Client, error) {
 	if len(c.Addresses) == 0 {
 		return nil, errors.New("operator: no address of a control member is given")
@@ -116,17 +114,17 @@
 	return n.Int64()
 }
 
-// requestIDBytes is the length of a random request identifier; identifiers of all clients never collide.
+// requestIDBytes is the length of a request ID, which makes collisions between clients practically impossible.
 const requestIDBytes = 16
 
-// NewRequestID returns a random request identifier.
+// NewRequestID returns a random request ID.
 func NewRequestID() string {
 	id := make([]byte, requestIDBytes)
 	_, _ = rand.Read(id)
 	return hex.EncodeToString(id)
 }
 
-// requestIDOrNew returns the identifier, or a new one if it is empty. The identifier is fixed before the first attempt.
+// requestIDOrNew returns the request ID, or a new one if it is empty. All attempts use the same ID.
 func requestIDOrNew(requestID string) string {
 	if requestID == "" {
 		return NewRequestID()
@@ -158,8 +156,8 @@
 	return sendChange[Decision](ctx, c, PathReplace, r, c.config.AttemptTimeout)
 }
 
-// Status implements Backend. A member on the far side of a partition answers with an old state, so the members are asked
-// in turn until one answers with a fresh state. If none does, the freshest answer is returned.
+// Status implements Backend. A member that a partition cuts off from the quorum returns an old state. Therefore the
+// members are asked in turn until one returns a fresh state; if none does, the result is the freshest one.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var best Status
 	for i := range c.config.Addresses {
@@ -178,6 +176,7 @@
 	return best, nil
 }
 
+// fresher reports whether an age is less than another one. Either may be AgeUnknown.
 func fresher(ageMs, other int64) bool {
 	return ageMs != AgeUnknown && (other == AgeUnknown || ageMs < other)
 }
--- a/protocol/operator/errors.go
+++ b/protocol/operator/errors.go
@@ -19,11 +19,11 @@
 	ErrNotLatest = errors.New("operator: version is not the latest approved one")
 	// ErrUnknownVersion reports a stop of a version that is neither staged nor approved.
 	ErrUnknownVersion = errors.New("operator: version is neither staged nor approved")
-	// ErrNotStaged reports an approval of a bundle whose parts are not held.
+	// ErrNotStaged reports an approval of a bundle whose parts are not in the registry.
 	ErrNotStaged = errors.New("operator: bundle is not staged")
-	// ErrInvalidBundle reports a bundle that does not validate; Error.Problems lists the faults.
+	// ErrInvalidBundle reports a bundle that fails validation; Error.Problems lists the reasons.
 	ErrInvalidBundle = errors.New("operator: bundle does not validate")
-	// ErrUnauthorized reports an unknown operator or a signature that does not verify.
+	// ErrUnauthorized reports an unknown operator or an invalid signature.
 	ErrUnauthorized = errors.New("operator: operator is unknown or the signature does not verify")
 	// ErrBadRequest reports a request that cannot be decoded or lacks a field.
 	ErrBadRequest = errors.New("operator: malformed request")
@@ -31,28 +31,28 @@
 	ErrNotFound = errors.New("operator: not found")
 	// ErrMembershipBusy reports that another membership change is in progress.
 	ErrMembershipBusy = errors.New("operator: another membership change is in progress")
-	// ErrNotLeader reports a member that does not lead; Error.Leader names the leader's API address if known.
+	// ErrNotLeader reports a member that is not the leader; Error.Leader is the address of the leader's API if known.
 	ErrNotLeader = errors.New("operator: this member is not the leader")
 	// ErrNoQuorum reports that the request was not accepted because no quorum is reachable.
 	ErrNoQuorum = errors.New("operator: no quorum is reachable")
-	// ErrOutcomeUnknown reports that the request may or may not have taken effect.
+	// ErrOutcomeUnknown reports a change that may or may not have taken effect.
 	ErrOutcomeUnknown = errors.New("operator: outcome is unknown")
-	// ErrUnreachable reports that no address answered.
-	ErrUnreachable = errors.New("operator: no control member answered")
-	// ErrInternal reports a fault of the member.
-	ErrInternal = errors.New("operator: internal fault")
+	// ErrUnreachable reports that no address sent a response.
+	ErrUnreachable = errors.New("operator: no control member responded")
+	// ErrInternal reports an internal error of the member.
+	ErrInternal = errors.New("operator: internal error")
 )
 
-// Error is an answer that carries details.
+// Error is an error of the API with its details.
 type Error struct {
 	// Kind is one of the errors above.
 	Kind    error
 	Message string
-	// Leader is the address of the leader's operator API.
+	// Leader is the address of the leader's API.
 	Leader string
-	// Winner is the approval that stands in the way.
+	// Winner is the approval that conflicts with the request.
 	Winner *bundle.Approval
-	// Problems lists the faults of a bundle.
+	// Problems lists the reasons why a bundle is invalid.
 	Problems bundle.Problems
 }
 
@@ -67,7 +67,7 @@
 // Unwrap returns the kind.
 func (e *Error) Unwrap() error { return e.Kind }
 
-// resultKinds maps the registry's refusals to the errors of this package.
+// resultKinds maps the result codes of the registry to errors of this package.
 var resultKinds = map[registry.Code]error{
 	registry.CodeVersionTaken:   ErrVersionTaken,
 	registry.CodeVersionOld:     ErrVersionOld,
@@ -80,7 +80,7 @@
 	registry.CodeMalformed:      ErrBadRequest,
 }
 
-// DecisionFromResult converts a registry result into the answer of a backend.
+// DecisionFromResult converts a result of the registry to the result of a Backend method.
 func DecisionFromResult(r registry.Result) (Decision, error) {
 	if r.Code == registry.CodeOK {
 		return Decision{Effect: r.Effect, Index: r.Index, Approval: r.Approval}, nil
--- a/protocol/operator/operator_test.go
+++ b/protocol/operator/operator_test.go
@@ -22,7 +22,7 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// seed makes every run draw the same order and waits.
+// seed fixes the order of the tests and the jitter of the pauses.
 const seed = 20261204
 
 func TestOperator(t *testing.T) {
@@ -34,7 +34,7 @@
 
 var key = ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 
-// fakeMember is a stand-in for a control fakeMember over a registry. Methods that a test does not need panic.
+// fakeMember is a Backend over a registry, without consensus. Methods that no test needs panic.
 type fakeMember struct {
 	operator.Backend
 	mu       sync.Mutex
@@ -42,7 +42,7 @@
 	index    uint64
 	err      error
 	calls    int
-	// confirmedAgeMs is the age of the member's state in milliseconds.
+	// confirmedAgeMs is Status.ConfirmedAgeMs.
 	confirmedAgeMs int64
 }
 
@@ -76,7 +76,8 @@
 }
 
 func (m *fakeMember) Status(context.Context) (operator.Status, error) {
-	return operator.Status{Member: "m1", ConfirmedAgeMs: m.confirmedAgeMs, Zones: []operator.ZoneStatus{{Zone: "a", Proxies: 3, AgeMs: operator.AgeUnknown,
+	return operator.Status{Member: "m1", ConfirmedAgeMs: m.confirmedAgeMs, Zones: []operator.ZoneStatus{{
+		Zone: "a", Proxies: 3, AgeMs: operator.AgeUnknown,
 		Lagging: []operator.LaggingProxy{{ID: "n1", Version: 4, Reason: "parts missing"}}}}}, m.err
 }
 
@@ -84,7 +85,7 @@
 	return operator.HistoryResponse{Records: make([]registry.HistoryRecord, r.Limit)}, nil
 }
 
-// loseResponses drops the connection after the first n requests were handled, as a crash after the commit does.
+// loseResponses handles the first n requests but drops their connections, as if the member crashed after a commit.
 func loseResponses(n int, inner http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n > 0 {
@@ -124,7 +125,7 @@
 		Version: version, Digest: stageRequest().Digest, Operator: "ana"})}
 }
 
-// closedAddress refuses connections.
+// closedAddress returns an address that refuses connections.
 func closedAddress() string {
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
@@ -134,7 +135,7 @@
 var _ = Describe("Client", func() {
 	ctx := context.Background()
 
-	It("takes effect once when each first answer is lost", func() {
+	It("makes a change take effect only once if the first response is lost", func() {
 		m := newMember()
 		handler := operator.NewHandler(m)
 		for _, call := range []func(c *operator.Client) (operator.Decision, error){
@@ -148,13 +149,13 @@
 			before := m.index
 			decision, err := call(newClient(serve(loseResponses(1, handler))))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(decision.Index).To(Equal(before+1), "the answer is that of the request whose answer was lost")
+			Expect(decision.Index).To(Equal(before+1), "the response is that to the first request")
 			Expect(m.index).To(Equal(before + 2))
 		}
 		Expect(m.registry.History()).To(HaveLen(2))
 	})
 
-	It("follows the answer that names the leader, past addresses that refuse connections", func() {
+	It("sends the request to the leader that a response names, and skips addresses that refuse connections", func() {
 		leader := serve(operator.NewHandler(newMember()))
 		follower := newMember()
 		follower.err = &operator.Error{Kind: operator.ErrNotLeader, Leader: leader}
@@ -164,14 +165,14 @@
 		Expect(decision.Effect).To(Equal(registry.EffectStaged))
 	})
 
-	It("ends when two members name each other as leader", func() {
+	It("gives up if two members name each other as the leader", func() {
 		one, two := newMember(), newMember()
 		first, second := serve(operator.NewHandler(one)), serve(operator.NewHandler(two))
 		one.err = &operator.Error{Kind: operator.ErrNotLeader, Leader: second}
 		two.err = &operator.Error{Kind: operator.ErrNotLeader, Leader: first}
 		_, err := newClient(first, second).Stage(ctx, stageRequest())
 		Expect(err).To(MatchError(operator.ErrNoQuorum))
-		Expect(one.calls+two.calls).To(BeNumerically("<=", 2*(2+3)), "two rounds of two addresses and three follows")
+		Expect(one.calls+two.calls).To(BeNumerically("<=", 2*(2+3)), "two rounds of two addresses and three redirects")
 	})
 
 	It("never reports a change as not accepted when it may have taken effect", func() {
@@ -185,7 +186,7 @@
 		Expect(err).To(MatchError(operator.ErrUnreachable))
 	})
 
-	It("gives all errors with their details to the caller", func() {
+	It("returns every error with its details", func() {
 		winner := approveRequest(3).Approval
 		for _, kind := range []error{operator.ErrVersionTaken, operator.ErrVersionOld, operator.ErrWithdrawn,
 			operator.ErrNotLatest, operator.ErrUnknownVersion, operator.ErrNotStaged, operator.ErrInvalidBundle,
@@ -204,16 +205,16 @@
 			}
 		}
 		m := newMember()
-		m.err = errors.New("disk on fire")
+		m.err = errors.New("disk failed")
 		_, err := newClient(serve(operator.NewHandler(m))).Status(ctx)
 		Expect(err).To(MatchError(operator.ErrInternal))
 	})
 
-	It("prefers the status of a member that a quorum confirmed over that of a partitioned one", func() {
-		cut, old, good := newMember(), newMember(), newMember()
-		cut.confirmedAgeMs, old.confirmedAgeMs = operator.AgeUnknown, 2*operator.MaxFreshAgeMs
-		first, second := serve(operator.NewHandler(cut)), serve(operator.NewHandler(old))
-		status, err := newClient(first, second, serve(operator.NewHandler(good))).Status(ctx)
+	It("prefers the status of a member that a quorum has confirmed to that of a partitioned one", func() {
+		partitioned, old, confirmed := newMember(), newMember(), newMember()
+		partitioned.confirmedAgeMs, old.confirmedAgeMs = operator.AgeUnknown, 2*operator.MaxFreshAgeMs
+		first, second := serve(operator.NewHandler(partitioned)), serve(operator.NewHandler(old))
+		status, err := newClient(first, second, serve(operator.NewHandler(confirmed))).Status(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status.ConfirmedAgeMs).To(BeZero())
 		status, err = newClient(first, second).Status(ctx)
@@ -240,21 +241,21 @@
 		return operator.ZoneStatus{Proxies: 4, AgeMs: age, LowestVersion: lowest, Versions: counts}
 	}
 
-	DescribeTable("judges a zone, never from old figures",
+	DescribeTable("determines the state of a zone, and never from old counts",
 		func(z operator.ZoneStatus, stopped bool, want operator.RolloutState) {
 			z.Rollout = operator.ZoneRollout(5, stopped, z)
 			Expect(z.Rollout).To(Equal(want))
 			Expect(operator.MeshRollout(5, stopped, []operator.ZoneStatus{z})).To(Equal(want))
 		},
-		Entry("all", zone(0, 5, operator.VersionCount{Version: 5, Proxies: 4}), false, operator.RolloutInForce),
-		Entry("all, later versions unlisted", zone(0, 6), false, operator.RolloutInForce),
-		Entry("some", zone(0, 4, operator.VersionCount{Version: 5, Proxies: 3}), false, operator.RolloutInProgress),
-		Entry("old figures", zone(operator.MaxFreshAgeMs+1, 5), false, operator.RolloutUnknown),
-		Entry("no figures", zone(operator.AgeUnknown, 5), false, operator.RolloutUnknown),
+		Entry("all proxies", zone(0, 5, operator.VersionCount{Version: 5, Proxies: 4}), false, operator.RolloutInForce),
+		Entry("all proxies, whose later versions are not listed", zone(0, 6), false, operator.RolloutInForce),
+		Entry("some proxies", zone(0, 4, operator.VersionCount{Version: 5, Proxies: 3}), false, operator.RolloutInProgress),
+		Entry("old counts", zone(operator.MaxFreshAgeMs+1, 5), false, operator.RolloutUnknown),
+		Entry("no counts", zone(operator.AgeUnknown, 5), false, operator.RolloutUnknown),
 		Entry("stopped", zone(0, 5), true, operator.RolloutStopped),
 	)
 
-	It("does not judge a mesh without proxies, nor one before the first approval", func() {
+	It("is unknown without proxies, and none before the first approval", func() {
 		Expect(operator.MeshRollout(5, false, nil)).To(Equal(operator.RolloutUnknown))
 		Expect(operator.MeshRollout(0, false, nil)).To(Equal(operator.RolloutNone))
 	})
@@ -282,7 +283,7 @@
 		Entry("too large", operator.PathMemberRemove, `{"id":"`+strings.Repeat("x", 1<<17)+`"}`),
 	)
 
-	It("refuses a replacement on the path of approvals, so that its condition is never overlooked", func() {
+	It("refuses a replacement on the path of approvals, which would ignore its condition", func() {
 		request := approveRequest(2)
 		request.RequestID = "r"
 		request.Approval.Replaces = 1
--- a/protocol/operator/rollout.go
+++ b/protocol/operator/rollout.go
@@ -6,15 +6,15 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// MaxFreshAgeMs is the age in milliseconds above which figures do not prove that a version is in force. It exceeds the
-// time of several polls down the tree and back.
+// MaxFreshAgeMs is the age in milliseconds above which the counts of proxies are too old to prove that a version is in
+// force. Several polls through the distribution tree take less time.
 const MaxFreshAgeMs int64 = 10_000
 
-// Fresh reports whether an age in milliseconds is known and small enough for a judgment.
+// Fresh reports whether an age in milliseconds is known and at most MaxFreshAgeMs.
 func Fresh(ageMs int64) bool { return ageMs != AgeUnknown && ageMs <= MaxFreshAgeMs }
 
-// InForce counts the proxies of the zone that have the version or a later one in force. The zone lists only its newest
-// versions, so older entries are covered by LowestVersion.
+// InForce returns the number of proxies of the zone that have the version or a later one in force. Since Versions lists
+// only the newest versions, LowestVersion tells whether all proxies have at least an older one.
 func (z ZoneStatus) InForce(version uint64) int {
 	if z.LowestVersion >= version {
 		return z.Proxies
@@ -44,7 +44,7 @@
 	}
 }
 
-// MeshRollout returns the state of the latest version's rollout over all zones, from the states of the zones.
+// MeshRollout returns the state of the latest version's rollout over all zones, by the Rollout of each zone.
 func MeshRollout(latest uint64, stopped bool, zones []ZoneStatus) RolloutState {
 	if latest == 0 {
 		return RolloutNone
@@ -53,20 +53,20 @@
 		return RolloutStopped
 	}
 	proxies := 0
-	worst := RolloutInForce
+	combined := RolloutInForce
 	for _, zone := range zones {
 		proxies += zone.Proxies
-		if zone.Rollout == RolloutInProgress || (zone.Rollout == RolloutUnknown && worst == RolloutInForce) {
-			worst = zone.Rollout
+		if zone.Rollout == RolloutInProgress || (zone.Rollout == RolloutUnknown && combined == RolloutInForce) {
+			combined = zone.Rollout
 		}
 	}
 	if proxies == 0 {
 		return RolloutUnknown
 	}
-	return worst
+	return combined
 }
 
-// NewestRecords returns at most limit records of a registry's history in the order of HistoryAnswer.
+// NewestRecords returns at most limit records of a registry's history, newest first.
 func NewestRecords(records []registry.HistoryRecord, limit int) []registry.HistoryRecord {
 	list := slices.Clone(records[max(0, len(records)-limit):])
 	slices.Reverse(list)
--- a/protocol/operator/types.go
+++ b/protocol/operator/types.go
@@ -1,5 +1,5 @@
-// Package operator is the HTTP API of the control members for operators: typed requests and answers, a handler and a
-// client.
+// Package operator is the HTTP API of the control members for operators: the types of requests and responses, a handler
+// and a client.
 package operator
 
 import (
@@ -9,7 +9,7 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// The paths of the API.
+// Paths of the API.
 const (
 	PathStage           = "/v1/stage"
 	PathApprove         = "/v1/approve"
@@ -26,18 +26,18 @@
 	PathDump            = "/v1/dump"
 )
 
-// StageRequest brings a bundle into the registry.
+// StageRequest stores a bundle in the registry.
 type StageRequest struct {
 	RequestID string        `json:"request_id"`
 	Operator  string        `json:"operator"`
 	Version   uint64        `json:"version"`
 	Digest    bundle.Digest `json:"digest"`
-	// Update is a bundle.Update encoded by registry.EncodeUpdate. Clients send complete updates; the leader shrinks
-	// them before it writes them to the log.
+	// Update is a bundle.Update encoded by registry.EncodeUpdate. Clients send complete updates. The leader removes
+	// parts that the registry has already before it writes the update to the log.
 	Update []byte `json:"update"`
 }
 
-// ApproveRequest brings a staged bundle into force. Approval.Replaces must be 0.
+// ApproveRequest approves a staged bundle, which starts its rollout. Approval.Replaces must be 0.
 type ApproveRequest struct {
 	RequestID string          `json:"request_id"`
 	Approval  bundle.Approval `json:"approval"`
@@ -55,9 +55,10 @@
 	Stop      registry.Stop `json:"stop"`
 }
 
-// Decision is the answer to a stage, approve, replace or stop.
+// Decision is the response to a stage, approve, replace or stop request.
 type Decision struct {
-	Effect   registry.Effect  `json:"effect"`
+	Effect registry.Effect `json:"effect"`
+	// Index is the log index of the command.
 	Index    uint64           `json:"index"`
 	Approval *bundle.Approval `json:"approval,omitempty"`
 }
@@ -65,7 +66,6 @@
 // RolloutState is the state of the latest version's rollout.
 type RolloutState string
 
-// The rollout states.
 const (
 	// RolloutNone means that no version is approved.
 	RolloutNone RolloutState = "none"
@@ -75,7 +75,7 @@
 	RolloutInForce RolloutState = "in-force"
 	// RolloutStopped means that the rollout was stopped.
 	RolloutStopped RolloutState = "stopped"
-	// RolloutUnknown means that the figures are too old to tell.
+	// RolloutUnknown means that the counts of proxies are missing or too old to tell.
 	RolloutUnknown RolloutState = "unknown"
 )
 
@@ -98,25 +98,25 @@
 	// Proxies is the number of proxies that were counted.
 	Proxies int `json:"proxies"`
 	// Versions counts the proxies per version in force, greatest version first. At most the four newest versions are
-	// listed; older ones are only part of Proxies.
+	// listed; proxies with older ones count only in Proxies.
 	Versions []VersionCount `json:"versions,omitempty"`
 	// LowestVersion is the lowest version in force on any counted proxy.
 	LowestVersion uint64 `json:"lowest_version"`
-	// Lagging is a sample of the proxies that lag.
+	// Lagging is a sample of the proxies that do not have the latest version in force.
 	Lagging []LaggingProxy `json:"lagging,omitempty"`
-	// AgeMs is the age of the figures in milliseconds; AgeUnknown means that no figures have arrived.
+	// AgeMs is the age of the counts in milliseconds; AgeUnknown means that none have arrived.
 	AgeMs   int64        `json:"age_ms"`
 	Rollout RolloutState `json:"rollout"`
 }
 
-// AgeUnknown is the age of figures that never arrived.
+// AgeUnknown is the age of information that has never arrived.
 const AgeUnknown int64 = -1
 
 // Status describes the control group and the rollout.
 type Status struct {
-	// Member is the identity of the member that answered.
+	// Member is the ID of the member that sent the response.
 	Member string `json:"member"`
-	// Leader is the identity of the leader, or empty if none is known.
+	// Leader is the ID of the leader, or empty if none is known.
 	Leader string `json:"leader,omitempty"`
 	// ConfirmedAgeMs is the time in milliseconds since a quorum confirmed this state; AgeUnknown if it never did.
 	ConfirmedAgeMs int64             `json:"confirmed_age_ms"`
@@ -128,9 +128,9 @@
 	Keyring bundle.Digest `json:"keyring,omitzero"`
 }
 
-// HistoryRequest bounds the number of records.
+// HistoryRequest reads the newest records of the history.
 type HistoryRequest struct {
-	// Limit is the greatest number of records, newest first; 0 takes DefaultHistoryLimit.
+	// Limit bounds the number of records, 1 to MaxHistoryLimit; 0 takes DefaultHistoryLimit.
 	Limit int `json:"limit"`
 }
 
@@ -196,25 +196,25 @@
 	ExpiresInMs int64    `json:"expires_in_ms"`
 }
 
-// QuarantineResponse lists the quarantined fingerprints.
+// QuarantineResponse lists the fingerprints in the quarantine.
 type QuarantineResponse struct {
 	Entries []QuarantineEntry `json:"entries"`
 }
 
-// ClearQuarantineRequest clears fingerprints.
+// ClearQuarantineRequest removes fingerprints from the quarantine.
 type ClearQuarantineRequest struct {
 	RequestID string `json:"request_id"`
 	Operator  string `json:"operator"`
-	// Fingerprints are in hexadecimal; an empty list clears all.
+	// Fingerprints are in hexadecimal; an empty list removes all.
 	Fingerprints []string `json:"fingerprints,omitempty"`
 }
 
-// ClearQuarantineResponse counts the cleared fingerprints.
+// ClearQuarantineResponse tells how many fingerprints were removed.
 type ClearQuarantineResponse struct {
 	Cleared int `json:"cleared"`
 }
 
-// DumpResponse is the state dump of the member that answered.
+// DumpResponse is the state dump of the member that sent the response.
 type DumpResponse struct {
 	Member string          `json:"member"`
 	State  json.RawMessage `json:"state"`
--- a/protocol/operator/wire.go
+++ b/protocol/operator/wire.go
@@ -9,23 +9,23 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// Bounds of the API.
+// Limits of the API.
 const (
-	// maxRequestBytes bounds a request: a complete update in base64 with some room for the other fields.
+	// maxRequestBytes bounds a stage request: a complete update in base64 and the other fields.
 	maxRequestBytes = registry.MaxUpdateBytes/3*4 + 64<<10
-	// maxSmallRequestBytes bounds all requests but stage.
+	// maxSmallRequestBytes bounds all other requests.
 	maxSmallRequestBytes = 64 << 10
-	// maxResponseBytes bounds an answer that a client reads. The history and the dump are the largest.
+	// maxResponseBytes bounds a response that a client reads. The history and the dump are the largest ones.
 	maxResponseBytes = 64 << 20
 	// DefaultHistoryLimit is the number of history records if the request sets no limit.
 	DefaultHistoryLimit = 100
-	// MaxHistoryLimit bounds the number of history records in one answer.
+	// MaxHistoryLimit bounds the number of history records in one response.
 	MaxHistoryLimit = 2000
-	// maxRequestIDLength bounds the length of a request identifier; the registry has the same bound.
+	// maxRequestIDLength bounds the length of a request ID in bytes; the registry has the same limit.
 	maxRequestIDLength = 64
 )
 
-// errorBody is the JSON form of an error answer.
+// errorBody is the JSON body of a response with an error.
 type errorBody struct {
 	Code     string           `json:"code"`
 	Message  string           `json:"message,omitempty"`
@@ -34,14 +34,14 @@
 	Problems bundle.Problems  `json:"problems,omitempty"`
 }
 
-// wireError is the form in which an error crosses the wire.
+// wireError is the code and the HTTP status by which a response represents an error.
 type wireError struct {
 	kind   error
 	code   string
 	status int
 }
 
-// wireErrors lists all errors that a member answers with.
+// wireErrors lists all errors that a member sends. The last one stands for all errors that are not part of the API.
 var wireErrors = []wireError{
 	{ErrVersionTaken, "version-taken", http.StatusConflict},
 	{ErrVersionOld, "version-old", http.StatusConflict},
@@ -60,7 +60,7 @@
 	{ErrInternal, "internal", http.StatusInternalServerError},
 }
 
-// CodeOf returns the code of an error in answers and in the JSON output of sapphirectl.
+// CodeOf returns the code of an error in responses and in the JSON output of sapphirectl.
 func CodeOf(err error) string {
 	if errors.Is(err, ErrUnreachable) {
 		return "unreachable"
@@ -68,7 +68,7 @@
 	return wireErrorOf(err).code
 }
 
-// wireErrorOf returns the form of an error; an error that is not part of the API is an internal fault.
+// wireErrorOf returns the representation of an error; that of ErrInternal if the error is not part of the API.
 func wireErrorOf(err error) wireError {
 	for _, candidate := range wireErrors {
 		if errors.Is(err, candidate.kind) {
@@ -78,7 +78,7 @@
 	return wireErrors[len(wireErrors)-1]
 }
 
-// kindOf returns the error that a code stands for.
+// kindOf returns the error with the given code.
 func kindOf(code string) (error, bool) {
 	for _, candidate := range wireErrors {
 		if candidate.code == code {
