--- a/protocol/operator/operator_test.go
+++ b/protocol/operator/operator_test.go
@@ -22,7 +22,7 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// seed makes every run draw the same order and waits.
+// seed fixes the order of the tests and the jitter of the pauses.
 const seed = 20261204
 
 func TestOperator(t *testing.T) {
@@ -34,24 +34,24 @@
 
 var key = ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 
-// member is a stand-in for a control member over a registry. Methods that a test does not need panic.
-type member struct {
+// fakeMember is a Backend over a registry, without consensus. Methods that no test needs panic.
+type fakeMember struct {
 	operator.Backend
 	mu       sync.Mutex
 	registry *registry.Registry
 	index    uint64
 	err      error
 	calls    int
-	// confirmed is the age of the member's state in milliseconds.
-	confirmed int64
+	// confirmedAgeMs is Status.ConfirmedAgeMs.
+	confirmedAgeMs int64
 }
 
-func newMember() *member {
+func newMember() *fakeMember {
 	keys := map[string][]ed25519.PublicKey{"ana": {key.Public().(ed25519.PublicKey)}}
-	return &member{registry: registry.New(bundle.NewKeyring(keys))}
+	return &fakeMember{registry: registry.New(bundle.NewKeyring(keys))}
 }
 
-func (m *member) apply(c registry.Command) (operator.Decision, error) {
+func (m *fakeMember) apply(c registry.Command) (operator.Decision, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.calls++
@@ -59,33 +59,34 @@
 		return operator.Decision{}, m.err
 	}
 	m.index++
-	return operator.FromResult(m.registry.Apply(m.index, c))
+	return operator.DecisionFromResult(m.registry.Apply(m.index, c))
 }
 
-func (m *member) Stage(_ context.Context, r operator.StageRequest) (operator.Decision, error) {
+func (m *fakeMember) Stage(_ context.Context, r operator.StageRequest) (operator.Decision, error) {
 	return m.apply(registry.Command{RequestID: r.RequestID, Stage: &registry.Stage{
 		Version: r.Version, Digest: r.Digest, Operator: r.Operator, Update: r.Update}})
 }
 
-func (m *member) Approve(_ context.Context, r operator.ApproveRequest) (operator.Decision, error) {
+func (m *fakeMember) Approve(_ context.Context, r operator.ApproveRequest) (operator.Decision, error) {
 	return m.apply(registry.Command{RequestID: r.RequestID, Approve: &r.Approval})
 }
 
-func (m *member) Stop(_ context.Context, r operator.StopRequest) (operator.Decision, error) {
+func (m *fakeMember) Stop(_ context.Context, r operator.StopRequest) (operator.Decision, error) {
 	return m.apply(registry.Command{RequestID: r.RequestID, Stop: &r.Stop})
 }
 
-func (m *member) Status(context.Context) (operator.Status, error) {
-	return operator.Status{Member: "m1", ConfirmedAgeMs: m.confirmed, Zones: []operator.ZoneStatus{{Zone: "a", Proxies: 3, AgeMs: operator.AgeUnknown,
+func (m *fakeMember) Status(context.Context) (operator.Status, error) {
+	return operator.Status{Member: "m1", ConfirmedAgeMs: m.confirmedAgeMs, Zones: []operator.ZoneStatus{{
+		Zone: "a", Proxies: 3, AgeMs: operator.AgeUnknown,
 		Lagging: []operator.LaggingProxy{{ID: "n1", Version: 4, Reason: "parts missing"}}}}}, m.err
 }
 
-func (m *member) History(_ context.Context, r operator.HistoryRequest) (operator.HistoryAnswer, error) {
-	return operator.HistoryAnswer{Records: make([]registry.HistoryRecord, r.Limit)}, nil
+func (m *fakeMember) History(_ context.Context, r operator.HistoryRequest) (operator.HistoryResponse, error) {
+	return operator.HistoryResponse{Records: make([]registry.HistoryRecord, r.Limit)}, nil
 }
 
-// losing drops the connection after the first n requests were handled, as a crash after the commit does.
-func losing(n int, inner http.Handler) http.Handler {
+// loseResponses handles the first n requests but drops their connections, as if the member crashed after a commit.
+func loseResponses(n int, inner http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n > 0 {
 			n--
@@ -102,7 +103,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func clientOf(addresses ...string) *operator.Client {
+func newClient(addresses ...string) *operator.Client {
 	client, err := operator.NewClient(operator.ClientConfig{
 		Addresses: addresses, RetryWait: time.Millisecond, Rounds: 2, Rand: rand.New(rand.NewSource(seed)),
 	})
@@ -124,7 +125,7 @@
 		Version: version, Digest: stageRequest().Digest, Operator: "ana"})}
 }
 
-// closedAddress refuses connections.
+// closedAddress returns an address that refuses connections.
 func closedAddress() string {
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
@@ -134,7 +135,7 @@
 var _ = Describe("Client", func() {
 	ctx := context.Background()
 
-	It("takes effect once when each first answer is lost", func() {
+	It("makes a change take effect only once if the first response is lost", func() {
 		m := newMember()
 		handler := operator.NewHandler(m)
 		for _, call := range []func(c *operator.Client) (operator.Decision, error){
@@ -146,46 +147,46 @@
 			},
 		} {
 			before := m.index
-			decision, err := call(clientOf(serve(losing(1, handler))))
+			decision, err := call(newClient(serve(loseResponses(1, handler))))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(decision.Index).To(Equal(before+1), "the answer is that of the request whose answer was lost")
+			Expect(decision.Index).To(Equal(before+1), "the response is that to the first request")
 			Expect(m.index).To(Equal(before + 2))
 		}
 		Expect(m.registry.History()).To(HaveLen(2))
 	})
 
-	It("follows the answer that names the leader, past addresses that refuse connections", func() {
+	It("sends the request to the leader that a response names, and skips addresses that refuse connections", func() {
 		leader := serve(operator.NewHandler(newMember()))
 		follower := newMember()
 		follower.err = &operator.Error{Kind: operator.ErrNotLeader, Leader: leader}
-		client := clientOf(closedAddress(), serve(operator.NewHandler(follower)))
+		client := newClient(closedAddress(), serve(operator.NewHandler(follower)))
 		decision, err := client.Stage(ctx, stageRequest())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(decision.Effect).To(Equal(registry.EffectStaged))
 	})
 
-	It("ends when two members name each other as leader", func() {
+	It("gives up if two members name each other as the leader", func() {
 		one, two := newMember(), newMember()
 		first, second := serve(operator.NewHandler(one)), serve(operator.NewHandler(two))
 		one.err = &operator.Error{Kind: operator.ErrNotLeader, Leader: second}
 		two.err = &operator.Error{Kind: operator.ErrNotLeader, Leader: first}
-		_, err := clientOf(first, second).Stage(ctx, stageRequest())
+		_, err := newClient(first, second).Stage(ctx, stageRequest())
 		Expect(err).To(MatchError(operator.ErrNoQuorum))
-		Expect(one.calls+two.calls).To(BeNumerically("<=", 2*(2+3)), "two rounds of two addresses and three follows")
+		Expect(one.calls+two.calls).To(BeNumerically("<=", 2*(2+3)), "two rounds of two addresses and three redirects")
 	})
 
 	It("never reports a change as not accepted when it may have taken effect", func() {
 		m := newMember()
-		address := serve(losing(100, operator.NewHandler(m)))
-		_, err := clientOf(address).Stage(ctx, stageRequest())
+		address := serve(loseResponses(100, operator.NewHandler(m)))
+		_, err := newClient(address).Stage(ctx, stageRequest())
 		Expect(err).To(MatchError(operator.ErrOutcomeUnknown))
-		_, err = clientOf(address).Status(ctx)
+		_, err = newClient(address).Status(ctx)
 		Expect(err).To(MatchError(operator.ErrUnreachable))
-		_, err = clientOf(closedAddress()).Stage(ctx, stageRequest())
+		_, err = newClient(closedAddress()).Stage(ctx, stageRequest())
 		Expect(err).To(MatchError(operator.ErrUnreachable))
 	})
 
-	It("gives all errors with their details to the caller", func() {
+	It("returns every error with its details", func() {
 		winner := approveRequest(3).Approval
 		for _, kind := range []error{operator.ErrVersionTaken, operator.ErrVersionOld, operator.ErrWithdrawn,
 			operator.ErrNotLatest, operator.ErrUnknownVersion, operator.ErrNotStaged, operator.ErrInvalidBundle,
@@ -194,7 +195,7 @@
 			m := newMember()
 			m.err = &operator.Error{Kind: kind, Message: "why", Winner: &winner,
 				Problems: bundle.Problems{{Field: "f", Value: "v", Allowed: "a"}}}
-			_, err := clientOf(serve(operator.NewHandler(m))).Approve(ctx, approveRequest(1))
+			_, err := newClient(serve(operator.NewHandler(m))).Approve(ctx, approveRequest(1))
 			Expect(err).To(MatchError(kind))
 			var detailed *operator.Error
 			Expect(errors.As(err, &detailed)).To(BeTrue())
@@ -204,25 +205,25 @@
 			}
 		}
 		m := newMember()
-		m.err = errors.New("disk on fire")
-		_, err := clientOf(serve(operator.NewHandler(m))).Status(ctx)
+		m.err = errors.New("disk failed")
+		_, err := newClient(serve(operator.NewHandler(m))).Status(ctx)
 		Expect(err).To(MatchError(operator.ErrInternal))
 	})
 
-	It("prefers the status of a member that a quorum confirmed over that of a partitioned one", func() {
-		cut, old, good := newMember(), newMember(), newMember()
-		cut.confirmed, old.confirmed = operator.AgeUnknown, 2*operator.MaxFigureAgeMs
-		first, second := serve(operator.NewHandler(cut)), serve(operator.NewHandler(old))
-		status, err := clientOf(first, second, serve(operator.NewHandler(good))).Status(ctx)
+	It("prefers the status of a member that a quorum has confirmed to that of a partitioned one", func() {
+		partitioned, old, confirmed := newMember(), newMember(), newMember()
+		partitioned.confirmedAgeMs, old.confirmedAgeMs = operator.AgeUnknown, 2*operator.MaxFreshAgeMs
+		first, second := serve(operator.NewHandler(partitioned)), serve(operator.NewHandler(old))
+		status, err := newClient(first, second, serve(operator.NewHandler(confirmed))).Status(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status.ConfirmedAgeMs).To(BeZero())
-		status, err = clientOf(first, second).Status(ctx)
+		status, err = newClient(first, second).Status(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(status.ConfirmedAgeMs).To(Equal(old.confirmed))
+		Expect(status.ConfirmedAgeMs).To(Equal(old.confirmedAgeMs))
 	})
 
 	It("reads status and history", func() {
-		client := clientOf(serve(operator.NewHandler(newMember())))
+		client := newClient(serve(operator.NewHandler(newMember())))
 		status, err := client.Status(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status.Zones[0].Lagging[0].Reason).To(Equal("parts missing"))
@@ -240,28 +241,28 @@
 		return operator.ZoneStatus{Proxies: 4, AgeMs: age, LowestVersion: lowest, Versions: counts}
 	}
 
-	DescribeTable("judges a zone, never from old figures",
+	DescribeTable("determines the state of a zone, and never from old counts",
 		func(z operator.ZoneStatus, stopped bool, want operator.RolloutState) {
-			z.Rollout = operator.RolloutOf(5, stopped, z)
+			z.Rollout = operator.ZoneRollout(5, stopped, z)
 			Expect(z.Rollout).To(Equal(want))
-			Expect(operator.RolloutOfAll(5, stopped, []operator.ZoneStatus{z})).To(Equal(want))
+			Expect(operator.MeshRollout(5, stopped, []operator.ZoneStatus{z})).To(Equal(want))
 		},
-		Entry("all", zone(0, 5, operator.VersionCount{Version: 5, Proxies: 4}), false, operator.RolloutInForce),
-		Entry("all, later versions unlisted", zone(0, 6), false, operator.RolloutInForce),
-		Entry("some", zone(0, 4, operator.VersionCount{Version: 5, Proxies: 3}), false, operator.RolloutInProgress),
-		Entry("old figures", zone(operator.MaxFigureAgeMs+1, 5), false, operator.RolloutUnknown),
-		Entry("no figures", zone(operator.AgeUnknown, 5), false, operator.RolloutUnknown),
+		Entry("all proxies", zone(0, 5, operator.VersionCount{Version: 5, Proxies: 4}), false, operator.RolloutInForce),
+		Entry("all proxies, whose later versions are not listed", zone(0, 6), false, operator.RolloutInForce),
+		Entry("some proxies", zone(0, 4, operator.VersionCount{Version: 5, Proxies: 3}), false, operator.RolloutInProgress),
+		Entry("old counts", zone(operator.MaxFreshAgeMs+1, 5), false, operator.RolloutUnknown),
+		Entry("no counts", zone(operator.AgeUnknown, 5), false, operator.RolloutUnknown),
 		Entry("stopped", zone(0, 5), true, operator.RolloutStopped),
 	)
 
-	It("does not judge a mesh without proxies, nor one before the first approval", func() {
-		Expect(operator.RolloutOfAll(5, false, nil)).To(Equal(operator.RolloutUnknown))
-		Expect(operator.RolloutOfAll(0, false, nil)).To(Equal(operator.RolloutNone))
+	It("is unknown without proxies, and none before the first approval", func() {
+		Expect(operator.MeshRollout(5, false, nil)).To(Equal(operator.RolloutUnknown))
+		Expect(operator.MeshRollout(0, false, nil)).To(Equal(operator.RolloutNone))
 	})
 
 	It("returns the newest records of a history first", func() {
 		records := []registry.HistoryRecord{{Index: 1}, {Index: 2}, {Index: 3}}
-		Expect(operator.NewestFirst(records, 2)).To(Equal([]registry.HistoryRecord{{Index: 3}, {Index: 2}}))
+		Expect(operator.NewestRecords(records, 2)).To(Equal([]registry.HistoryRecord{{Index: 3}, {Index: 2}}))
 	})
 })
 
@@ -282,7 +283,7 @@
 		Entry("too large", operator.PathMemberRemove, `{"id":"`+strings.Repeat("x", 1<<17)+`"}`),
 	)
 
-	It("refuses a replacement on the path of approvals, so that its condition is never overlooked", func() {
+	It("refuses a replacement on the path of approvals, which would ignore its condition", func() {
 		request := approveRequest(2)
 		request.RequestID = "r"
 		request.Approval.Replaces = 1
