--- a/coordination/raft/cluster_test.go
+++ b/coordination/raft/cluster_test.go
@@ -19,41 +19,41 @@
 	logCheckSteps = 20
 )
 
-// cluster simulates members with fake disks, clocks that differ in rate and a faulty network, and checks safety after
-// every step against the truth that it observes.
+// cluster simulates members with fake disks, clocks that differ in rate and a faulty network. After every step it
+// checks the safety properties against what all members together have applied and committed.
 type cluster struct {
-	rng         *rand.Rand
-	now         time.Duration
-	steps       int
-	members     []*member
-	packets     []packet
-	loss        float64
-	duplication float64
-	minDelay    time.Duration
-	delay       time.Duration
-	write       time.Duration
-	crashWrites float64 // probability that a member crashes during a write and returns at once
-	cut         map[[2]raft.MemberID]bool
-	sent        []raft.Message
-	record      bool
+	rng              *rand.Rand
+	now              time.Duration
+	steps            int
+	members          []*member
+	packets          []packet
+	loss             float64
+	duplication      float64
+	minDelay         time.Duration
+	maxExtraDelay    time.Duration
+	maxWriteTime     time.Duration
+	crashProbability float64 // probability that a member crashes during a write and restarts at once
+	blockedLinks     map[[2]raft.MemberID]bool
+	recordedMessages []raft.Message
+	recordMessages   bool
 
 	leaders     map[uint64]raft.MemberID
 	states      []uint64        // states[i] is the application state after entry i
-	committedAt []time.Duration // committedAt[i] is when entry i was first known as committed
-	lagChecks   int
+	committedAt []time.Duration // committedAt[i] is when the first member knew that entry i is committed
+	ageChecks   int
 }
 
 type member struct {
-	id      raft.MemberID
-	disk    *disk.Fake
-	log     *wal.Log
-	node    *raft.Node
-	rate    float64
-	start   raft.Membership
-	applied uint64
-	state   uint64
-	ready   *raft.Ready
-	readyAt time.Duration
+	id                raft.MemberID
+	disk              *disk.Fake
+	log               *wal.Log
+	node              *raft.Node
+	clockRate         float64
+	initialMembership raft.Membership
+	applied           uint64
+	state             uint64
+	ready             *raft.Ready
+	writeDoneAt       time.Duration
 }
 
 type packet struct {
@@ -69,11 +69,11 @@
 	return m
 }
 
-// newCluster starts the voters; others start as members that join later.
+// newCluster starts the members of the initial membership, and the others without one, so that they can join later.
 func newCluster(seed int64, initial raft.Membership, others ...raft.MemberID) *cluster {
 	c := &cluster{
-		rng: rand.New(rand.NewSource(seed)), cut: map[[2]raft.MemberID]bool{}, leaders: map[uint64]raft.MemberID{},
-		states: []uint64{0}, committedAt: []time.Duration{0}, minDelay: 4 * time.Millisecond, write: 2 * time.Millisecond,
+		rng: rand.New(rand.NewSource(seed)), blockedLinks: map[[2]raft.MemberID]bool{}, leaders: map[uint64]raft.MemberID{},
+		states: []uint64{0}, committedAt: []time.Duration{0}, minDelay: 4 * time.Millisecond, maxWriteTime: 2 * time.Millisecond,
 	}
 	for _, m := range initial.Members {
 		c.add(m.ID, initial)
@@ -85,7 +85,7 @@
 }
 
 func (c *cluster) add(id raft.MemberID, start raft.Membership) {
-	m := &member{id: id, disk: disk.NewFake(c.rng), rate: 0.995 + c.rng.Float64()/100, start: start}
+	m := &member{id: id, disk: disk.NewFake(c.rng), clockRate: 0.995 + c.rng.Float64()/100, initialMembership: start}
 	m.disk.SetTornWrites(true)
 	c.members = append(c.members, m)
 	c.restart(m)
@@ -97,8 +97,8 @@
 	}
 }
 
-func (c *cluster) local(m *member) time.Time {
-	return time.Unix(1000, 0).Add(time.Duration(float64(c.now) * m.rate))
+func (c *cluster) clock(m *member) time.Time {
+	return time.Unix(1000, 0).Add(time.Duration(float64(c.now) * m.clockRate))
 }
 
 func (c *cluster) restart(m *member) {
@@ -106,10 +106,10 @@
 	must(err)
 	m.log, m.ready = log, nil
 	m.restore(recovered.Snapshot)
-	m.node, err = raft.New(c.local(m), raft.Config{
+	m.node, err = raft.New(c.clock(m), raft.Config{
 		ID: m.id, MaxAppendBytes: 100, MaxInflightAppends: 4, TrailingEntries: 5, Rand: rand.New(rand.NewSource(c.rng.Int63())),
 	}, raft.Restored{
-		HardState: recovered.HardState, Snapshot: recovered.Snapshot, Entries: recovered.Entries, Membership: m.start,
+		HardState: recovered.HardState, Snapshot: recovered.Snapshot, Entries: recovered.Entries, Membership: m.initialMembership,
 	})
 	must(err)
 }
@@ -141,7 +141,7 @@
 				continue
 			}
 			if c.steps%4 == 0 {
-				m.node.Tick(c.local(m))
+				m.node.Tick(c.clock(m))
 			}
 			c.process(m)
 		}
@@ -158,10 +158,10 @@
 			continue
 		}
 		m := c.member(p.message.To)
-		if m == nil || m.node == nil || c.cut[[2]raft.MemberID{p.message.From, m.id}] {
+		if m == nil || m.node == nil || c.blockedLinks[[2]raft.MemberID{p.message.From, m.id}] {
 			continue
 		}
-		must(m.node.Step(c.local(m), p.message))
+		must(m.node.Step(c.clock(m), p.message))
 		c.process(m)
 	}
 }
@@ -176,8 +176,8 @@
 }
 
 func (c *cluster) send(messages []raft.Message) {
-	if c.record {
-		c.sent = append(c.sent, messages...)
+	if c.recordMessages {
+		c.recordedMessages = append(c.recordedMessages, messages...)
 	}
 	for _, message := range messages {
 		copies := 1
@@ -186,13 +186,14 @@
 		}
 		for range copies {
 			if c.rng.Float64() >= c.loss {
-				c.packets = append(c.packets, packet{c.now + c.minDelay + time.Duration(c.rng.Int63n(int64(c.delay)+1)), message})
+				c.packets = append(c.packets, packet{c.now + c.minDelay + time.Duration(c.rng.Int63n(int64(c.maxExtraDelay)+1)), message})
 			}
 		}
 	}
 }
 
-// process works off Ready. A write takes time, in which the member processes messages and may crash.
+// process carries out the member's batches of work until there is none or a write is in progress. During a write the
+// member processes messages and may crash.
 func (c *cluster) process(m *member) {
 	for {
 		if m.ready == nil {
@@ -200,31 +201,31 @@
 				return
 			}
 			r := m.node.Ready()
-			m.ready, m.readyAt = &r, c.now
+			m.ready, m.writeDoneAt = &r, c.now
 			if r.MustSync {
-				m.readyAt += time.Duration(c.rng.Int63n(int64(c.write) + 1))
+				m.writeDoneAt += time.Duration(c.rng.Int63n(int64(c.maxWriteTime) + 1))
 			}
 			c.send(r.EarlyMessages)
-			if r.MustSync && c.rng.Float64() < c.crashWrites {
+			if r.MustSync && c.rng.Float64() < c.crashProbability {
 				c.crash(m)
 				c.restart(m)
 				continue
 			}
 		}
-		if c.now < m.readyAt {
+		if c.now < m.writeDoneAt {
 			c.send(m.node.TakeEarlyMessages())
 			return
 		}
-		c.finish(m, *m.ready)
+		c.finishBatch(m, *m.ready)
 		m.ready = nil
 	}
 }
 
-func (c *cluster) finish(m *member, r raft.Ready) {
+func (c *cluster) finishBatch(m *member, r raft.Ready) {
 	if r.Snapshot != nil {
 		must(m.log.SaveSnapshot(*r.Snapshot))
 		m.restore(*r.Snapshot)
-		c.observeState(m)
+		c.checkState(m)
 	}
 	if r.MustSync {
 		must(m.log.Append(r.HardState, r.Entries))
@@ -232,12 +233,12 @@
 	c.send(r.Messages)
 	for _, entry := range r.Committed {
 		if entry.Index != m.applied+1 {
-			panic(fmt.Sprintf("%s applies %d after %d", m.id, entry.Index, m.applied))
+			panic(fmt.Sprintf("%s applies entry %d after entry %d", m.id, entry.Index, m.applied))
 		}
 		hash := fnv.New64a()
 		fmt.Fprint(hash, m.state, entry.Term, entry.Kind, entry.Data)
 		m.applied, m.state = entry.Index, hash.Sum64()
-		c.observeState(m)
+		c.checkState(m)
 	}
 	m.node.Advance(r)
 	if status := m.node.Status(); status.Applied >= status.SnapshotIndex+compactEvery {
@@ -252,17 +253,17 @@
 	must(m.node.Compact(s))
 }
 
-// observeState checks that all members apply the same entries. The state is a hash over all entries.
-func (c *cluster) observeState(m *member) {
+// checkState checks that all members apply the same entries. The state is a hash over all applied entries.
+func (c *cluster) checkState(m *member) {
 	if m.applied == uint64(len(c.states)) {
 		c.states = append(c.states, m.state)
 	}
 	if m.applied >= uint64(len(c.states)) || c.states[m.applied] != m.state {
-		panic(fmt.Sprintf("%s applied another history up to %d", m.id, m.applied))
+		panic(fmt.Sprintf("%s applied entries that differ from those of other members, up to %d", m.id, m.applied))
 	}
 }
 
-// check verifies the properties that hold at all times.
+// check verifies the properties that must hold at all times.
 func (c *cluster) check() {
 	for _, m := range c.members {
 		if m.node == nil {
@@ -291,12 +292,12 @@
 
 // checkAge compares the confirmed age with the time since the oldest committed entry that the member lacks.
 func (c *cluster) checkAge(m *member) {
-	age, ok := m.node.ConfirmedAge(c.local(m))
+	age, ok := m.node.ConfirmedAge(c.clock(m))
 	missing := m.node.Status().Applied + 1
 	if !ok || missing >= uint64(len(c.committedAt)) {
 		return
 	}
-	c.lagChecks++
+	c.ageChecks++
 	if trueAge := c.now - c.committedAt[missing]; age < trueAge {
 		panic(fmt.Sprintf("%s claims age %v, but lacks an entry committed %v ago", m.id, age, trueAge))
 	}
@@ -322,7 +323,7 @@
 		}
 		same := a[i].Term == b[at].Term
 		if same && string(a[i].Data) != string(b[at].Data) || matched && !same {
-			panic(fmt.Sprintf("logs differ at %d below a common entry", a[i].Index))
+			panic(fmt.Sprintf("logs differ at index %d, before an entry that they share", a[i].Index))
 		}
 		matched = same
 	}
@@ -342,8 +343,8 @@
 	return found
 }
 
-// elect runs until a leader has committed an entry of its term.
-func (c *cluster) elect() *member {
+// awaitLeader runs until a leader has committed an entry of its term.
+func (c *cluster) awaitLeader() *member {
 	for range 2000 {
 		c.run(step)
 		m := c.leader()
@@ -359,13 +360,13 @@
 	for range count {
 		data = append(data, binary.BigEndian.AppendUint64(nil, c.rng.Uint64()))
 	}
-	_, _, err := m.node.Propose(c.local(m), data...)
+	_, _, err := m.node.Propose(c.clock(m), data...)
 	c.process(m)
 	return err
 }
 
 func (c *cluster) change(m *member, kind raft.ChangeKind, id raft.MemberID) error {
-	_, _, err := m.node.ProposeMembership(c.local(m), raft.MembershipChange{Kind: kind, Member: raft.Member{ID: id}})
+	_, _, err := m.node.ProposeMembership(c.clock(m), raft.MembershipChange{Kind: kind, Member: raft.Member{ID: id}})
 	c.process(m)
 	return err
 }
@@ -375,10 +376,10 @@
 	for _, a := range c.members {
 		for _, b := range c.members {
 			if slices.Contains(ids, a.id) != slices.Contains(ids, b.id) {
-				c.cut[[2]raft.MemberID{a.id, b.id}] = true
+				c.blockedLinks[[2]raft.MemberID{a.id, b.id}] = true
 			}
 		}
 	}
 }
 
-func (c *cluster) heal() { clear(c.cut) }
+func (c *cluster) heal() { clear(c.blockedLinks) }
--- a/coordination/raft/exhaustive_test.go
+++ b/coordination/raft/exhaustive_test.go
@@ -15,96 +15,101 @@
 	"sapphiregate.example/sapphiregate/coordination/raft"
 )
 
-// The exhaustive check runs every schedule that differs from a default schedule in at most a number of steps. The
-// default finishes writes first, then delivers messages in order, then follows the script. A deviation delivers another
-// message, loses or duplicates one, crashes a member (which loses its unfinished write), starts an election or takes the
-// next step of the script early.
+// The exhaustive check runs every schedule that differs from a default schedule in a limited number of steps. The
+// default schedule finishes writes first, then delivers messages in order, then follows the script. A deviation
+// delivers another message, loses or duplicates one, crashes a member (which loses its unfinished write), starts an
+// election or takes the next step of the script early.
 const (
 	maxScheduleSteps  = 42
 	defaultDeviations = 2
-	// deviationsVariable raises the number of deviations, for runs outside of CI.
+	// deviationsVariable is the environment variable that sets a higher number of deviations for runs outside of CI.
 	deviationsVariable = "SAPPHIREGATE_RAFT_DEVIATIONS"
 )
 
+// operation is one step of a schedule.
 type operation struct {
-	kind   byte // 'e' election, 'p' propose, 'h' heartbeat, 'w' finish write, 'd' deliver, 'x' lose, '2' duplicate, 'c' crash
-	target int  // member, or position in the network
+	// kind is 'e' start an election, 'p' propose, 'h' start a heartbeat round, 'w' finish a write, 'd' deliver a message,
+	// 'x' lose a message, '2' deliver a message and keep a duplicate, or 'c' crash and restart a member.
+	kind   byte
+	target int // the index of the member, or of the message in the network
 }
 
 var script = []operation{{'e', 0}, {'p', 0}, {'e', 1}, {'p', 0}, {'h', 0}, {'e', 2}, {'p', 0}, {'h', 0}}
 
-type world struct {
-	now      time.Time
-	nodes    [3]*raft.Node
-	disks    [3]raft.Restored
-	writing  [3]*raft.Ready
-	applied  [3]uint64
-	network  []raft.Message
-	position int
-	proposed byte
-	leaders  map[uint64]int
-	history  []raft.Entry
-	path     []operation
+// simulation is a group of three members whose messages and writes wait until an operation of the schedule runs them.
+type simulation struct {
+	now            time.Time
+	nodes          [3]*raft.Node
+	disks          [3]raft.Restored
+	pendingWrites  [3]*raft.Ready
+	applied        [3]uint64
+	network        []raft.Message
+	scriptPosition int
+	proposed       byte
+	leaders        map[uint64]int
+	history        []raft.Entry
+	schedule       []operation
 }
 
 var ids = []raft.MemberID{"a", "b", "c"}
 
-func newWorld() *world {
-	w := &world{now: time.Unix(1000, 0), leaders: map[uint64]int{}}
-	for i := range w.nodes {
-		w.disks[i].Membership = voters(ids...)
-		w.start(i)
+func newSimulation() *simulation {
+	sim := &simulation{now: time.Unix(1000, 0), leaders: map[uint64]int{}}
+	for i := range sim.nodes {
+		sim.disks[i].Membership = voters(ids...)
+		sim.start(i)
 	}
-	// The first election and the entry that it commits have no deviations; the later elections have.
-	for w.position == 0 || len(w.network) > 0 {
-		w.apply(w.options()[0])
+	// The first election and the commit of its first entry follow the default schedule. Deviations start afterwards.
+	for sim.scriptPosition == 0 || len(sim.network) > 0 {
+		sim.apply(sim.possibleOperations()[0])
 	}
-	w.path = nil
-	return w
+	sim.schedule = nil
+	return sim
 }
 
-func (w *world) clone() *world {
-	c := *w
-	for i, node := range w.nodes {
+func (sim *simulation) clone() *simulation {
+	c := *sim
+	for i, node := range sim.nodes {
 		c.nodes[i] = node.Clone()
 	}
-	c.network = slices.Clone(w.network)
-	c.leaders = maps.Clone(w.leaders)
-	c.history = slices.Clone(w.history)
-	c.path = slices.Clone(w.path)
+	c.network = slices.Clone(sim.network)
+	c.leaders = maps.Clone(sim.leaders)
+	c.history = slices.Clone(sim.history)
+	c.schedule = slices.Clone(sim.schedule)
 	return &c
 }
 
-// zeros replaces randomness, which only affects timeouts here. Seeding a real source took a fifth of the run.
-type zeros struct{}
+// zeroSource is a source of random numbers that returns only zero, since randomness affects only timeouts here. Seeding
+// a real source took a fifth of the run.
+type zeroSource struct{}
 
-func (zeros) Int63() int64 { return 0 }
-func (zeros) Seed(int64)   {}
+func (zeroSource) Int63() int64 { return 0 }
+func (zeroSource) Seed(int64)   {}
 
-func (w *world) start(i int) {
-	node, err := raft.New(w.now, raft.Config{ID: ids[i], Rand: rand.New(zeros{})}, w.disks[i])
+func (sim *simulation) start(i int) {
+	node, err := raft.New(sim.now, raft.Config{ID: ids[i], Rand: rand.New(zeroSource{})}, sim.disks[i])
 	must(err)
-	w.nodes[i], w.writing[i], w.applied[i] = node, nil, 0
+	sim.nodes[i], sim.pendingWrites[i], sim.applied[i] = node, nil, 0
 }
 
-// options lists the operations that are possible; the first one is the default.
-func (w *world) options() []operation {
+// possibleOperations lists the operations that are possible; the first one is the default.
+func (sim *simulation) possibleOperations() []operation {
 	var list []operation
-	for i, r := range w.writing {
+	for i, r := range sim.pendingWrites {
 		if r != nil {
 			list = append(list, operation{'w', i})
 		}
 	}
-	for i := range min(len(w.network), 5) {
+	for i := range min(len(sim.network), 5) {
 		list = append(list, operation{'d', i})
 	}
-	if w.position < len(script) {
-		list = append(list, script[w.position])
+	if sim.scriptPosition < len(script) {
+		list = append(list, script[sim.scriptPosition])
 	}
 	if len(list) == 0 {
 		return nil
 	}
-	if len(w.network) > 0 {
+	if len(sim.network) > 0 {
 		list = append(list, operation{'x', 0}, operation{'2', 0})
 	}
 	for i := range ids {
@@ -113,119 +118,119 @@
 	return list
 }
 
-func (w *world) apply(o operation) {
-	w.path = append(w.path, o)
+func (sim *simulation) apply(o operation) {
+	sim.schedule = append(sim.schedule, o)
 	defer func() {
 		if failure := recover(); failure != nil {
-			panic(fmt.Sprintf("%v\nschedule: %v", failure, w.path))
+			panic(fmt.Sprintf("%v\nschedule: %v", failure, sim.schedule))
 		}
 	}()
-	if w.position < len(script) && o == script[w.position] {
-		w.position++
+	if sim.scriptPosition < len(script) && o == script[sim.scriptPosition] {
+		sim.scriptPosition++
 	}
 	switch o.kind {
 	case 'w':
-		r := *w.writing[o.target]
-		w.writing[o.target] = nil
-		w.persist(o.target, r)
+		r := *sim.pendingWrites[o.target]
+		sim.pendingWrites[o.target] = nil
+		sim.persist(o.target, r)
 	case 'd', '2':
-		m := w.network[o.target]
+		m := sim.network[o.target]
 		if o.kind == 'd' {
-			w.network = slices.Delete(w.network, o.target, o.target+1)
+			sim.network = slices.Delete(sim.network, o.target, o.target+1)
 		}
-		must(w.nodes[m.To[0]-'a'].Step(w.now, m))
+		must(sim.nodes[m.To[0]-'a'].Step(sim.now, m))
 	case 'x':
-		w.network = w.network[1:]
+		sim.network = sim.network[1:]
 	case 'c':
-		w.start(o.target)
+		sim.start(o.target)
 	case 'e':
-		// All leases lapse, but only one member notices.
-		w.now = w.now.Add(2 * time.Second)
-		w.nodes[o.target].Tick(w.now)
+		// All election timeouts pass, but only one member runs its timers.
+		sim.now = sim.now.Add(2 * time.Second)
+		sim.nodes[o.target].Tick(sim.now)
 	case 'p', 'h':
-		w.lead(o.kind)
+		sim.actAsLeaders(o.kind)
 	}
-	for i := range w.nodes {
-		w.settle(i)
+	for i := range sim.nodes {
+		sim.processReady(i)
 	}
-	w.check()
+	sim.check()
 }
 
-// lead proposes at every leader, or makes it start a heartbeat round.
-func (w *world) lead(kind byte) {
-	w.now = w.now.Add(200 * time.Millisecond)
-	for _, node := range w.nodes {
+// actAsLeaders proposes at every leader, or makes it start a heartbeat round.
+func (sim *simulation) actAsLeaders(kind byte) {
+	sim.now = sim.now.Add(200 * time.Millisecond)
+	for _, node := range sim.nodes {
 		if node.Status().Role != raft.RoleLeader {
 			continue
 		}
 		if kind == 'h' {
-			node.Tick(w.now)
+			node.Tick(sim.now)
 			continue
 		}
-		w.proposed++
-		_, _, err := node.Propose(w.now, []byte{w.proposed})
+		sim.proposed++
+		_, _, err := node.Propose(sim.now, []byte{sim.proposed})
 		must(err)
 	}
 }
 
-// settle takes Ready until a write is outstanding.
-func (w *world) settle(i int) {
-	for w.writing[i] == nil && w.nodes[i].HasReady() {
-		r := w.nodes[i].Ready()
-		w.network = append(w.network, r.EarlyMessages...)
+// processReady carries out the member's batches of work until there is none or a write must be finished first.
+func (sim *simulation) processReady(i int) {
+	for sim.pendingWrites[i] == nil && sim.nodes[i].HasReady() {
+		r := sim.nodes[i].Ready()
+		sim.network = append(sim.network, r.EarlyMessages...)
 		if r.MustSync {
-			w.writing[i] = &r
+			sim.pendingWrites[i] = &r
 			break
 		}
-		w.persist(i, r)
+		sim.persist(i, r)
 	}
-	w.network = append(w.network, w.nodes[i].TakeEarlyMessages()...)
+	sim.network = append(sim.network, sim.nodes[i].TakeEarlyMessages()...)
 }
 
-func (w *world) persist(i int, r raft.Ready) {
-	d := &w.disks[i]
+func (sim *simulation) persist(i int, r raft.Ready) {
+	d := &sim.disks[i]
 	if r.MustSync {
 		d.HardState = r.HardState
 		if len(r.Entries) > 0 {
 			d.Entries = append(append([]raft.Entry(nil), d.Entries[:r.Entries[0].Index-1]...), r.Entries...)
 		}
 	}
-	w.network = append(w.network, r.Messages...)
+	sim.network = append(sim.network, r.Messages...)
 	for _, entry := range r.Committed {
-		w.applied[i]++
-		if entry.Index == uint64(len(w.history)+1) {
-			w.history = append(w.history, entry)
+		sim.applied[i]++
+		if entry.Index == uint64(len(sim.history)+1) {
+			sim.history = append(sim.history, entry)
 		}
-		held := w.history[entry.Index-1]
-		if entry.Index != w.applied[i] || held.Term != entry.Term || string(held.Data) != string(entry.Data) {
-			panic(fmt.Sprintf("%s applies %v after %v", ids[i], entry, held))
+		expected := sim.history[entry.Index-1]
+		if entry.Index != sim.applied[i] || expected.Term != entry.Term || string(expected.Data) != string(entry.Data) {
+			panic(fmt.Sprintf("%s applies %v, where the first member applied %v", ids[i], entry, expected))
 		}
 	}
-	w.nodes[i].Advance(r)
+	sim.nodes[i].Advance(r)
 }
 
-func (w *world) check() {
-	for i, node := range w.nodes {
+func (sim *simulation) check() {
+	for i, node := range sim.nodes {
 		s := node.Status()
 		if s.Role == raft.RoleLeader {
-			if other, ok := w.leaders[s.Term]; ok && other != i {
+			if other, ok := sim.leaders[s.Term]; ok && other != i {
 				panic(fmt.Sprintf("%s and %s lead term %d", ids[other], ids[i], s.Term))
 			}
-			w.leaders[s.Term] = i
+			sim.leaders[s.Term] = i
 		}
-		compareLogs(node.Entries(), w.nodes[(i+1)%3].Entries())
+		compareLogs(node.Entries(), sim.nodes[(i+1)%3].Entries())
 	}
 }
 
-// fingerprint identifies the state, so that schedules that meet in it are continued once. It covers everything that
-// decides the continuation, so that the order in which goroutines find a state does not matter.
-func (w *world) fingerprint(left int) uint64 {
+// fingerprint identifies the state, so that schedules that lead to the same state are continued only once. It covers
+// everything on which the continuation depends, so that the order in which goroutines reach a state does not matter.
+func (sim *simulation) fingerprint(deviationsLeft int) uint64 {
 	hash := fnv.New64a()
-	fmt.Fprint(hash, left, len(w.path), w.now, w.position, w.leaders, w.history)
-	for i, node := range w.nodes {
-		fmt.Fprint(hash, node.Fingerprint(), w.disks[i], w.writing[i])
+	fmt.Fprint(hash, deviationsLeft, len(sim.schedule), sim.now, sim.scriptPosition, sim.leaders, sim.history)
+	for i, node := range sim.nodes {
+		fmt.Fprint(hash, node.Fingerprint(), sim.disks[i], sim.pendingWrites[i])
 	}
-	for _, m := range w.network {
+	for _, m := range sim.network {
 		fmt.Fprint(hash, m)
 	}
 	return hash.Sum64()
@@ -239,35 +244,35 @@
 	committed int
 }
 
-// explore follows the default from a state, and tries each deviation on the way.
-func (s *search) explore(w *world, left int) {
-	for len(w.path) < maxScheduleSteps {
-		options := w.options()
-		if len(options) == 0 {
+// explore follows the default schedule from a state, and tries each deviation at each step.
+func (s *search) explore(sim *simulation, deviationsLeft int) {
+	for len(sim.schedule) < maxScheduleSteps {
+		operations := sim.possibleOperations()
+		if len(operations) == 0 {
 			break
 		}
-		if left > 0 {
-			s.deviate(w, options[1:], left-1)
+		if deviationsLeft > 0 {
+			s.deviate(sim, operations[1:], deviationsLeft-1)
 		}
-		w.apply(options[0])
+		sim.apply(operations[0])
 	}
 	s.mutex.Lock()
 	s.schedules++
-	s.committed += len(w.history)
+	s.committed += len(sim.history)
 	s.mutex.Unlock()
 }
 
-func (s *search) deviate(w *world, options []operation, left int) {
+func (s *search) deviate(sim *simulation, operations []operation, deviationsLeft int) {
 	var group sync.WaitGroup
-	for _, o := range options {
-		next := w.clone()
+	for _, o := range operations {
+		next := sim.clone()
 		try := func() {
 			next.apply(o)
-			if s.visit(next.fingerprint(left)) {
-				s.explore(next, left)
+			if s.markVisited(next.fingerprint(deviationsLeft)) {
+				s.explore(next, deviationsLeft)
 			}
 		}
-		if left < defaultDeviations-1 {
+		if deviationsLeft < defaultDeviations-1 {
 			try()
 			continue
 		}
@@ -276,7 +281,7 @@
 	group.Wait()
 }
 
-func (s *search) visit(state uint64) bool {
+func (s *search) markVisited(state uint64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.visited[state] {
@@ -296,9 +301,9 @@
 		}
 	}
 	s := &search{visited: map[uint64]bool{}}
-	s.explore(newWorld(), deviations)
+	s.explore(newSimulation(), deviations)
 	t.Logf("%d schedules with up to %d deviations, %d entries committed", s.schedules, deviations, s.committed)
 	if s.schedules < 1000 || s.committed < s.schedules {
-		t.Error("the schedules hardly exercise the group")
+		t.Error("too few schedules or committed entries: the schedules hardly exercise the group")
 	}
 }
--- a/coordination/raft/export_test.go
+++ b/coordination/raft/export_test.go
@@ -10,7 +10,7 @@
 // Entries returns the entries that the log holds.
 func (n *Node) Entries() []Entry { return n.log.entries }
 
-// Clone returns an independent copy. It shares only the random source.
+// Clone returns an independent copy, which shares only the random source with n.
 func (n *Node) Clone() *Node {
 	c := *n
 	c.log.entries = slices.Clone(n.log.entries)
@@ -30,7 +30,7 @@
 	return &c
 }
 
-// Fingerprint describes all state that decides how the node reacts.
+// Fingerprint encodes all state on which the node's reactions depend.
 func (n *Node) Fingerprint() string {
 	var b strings.Builder
 	fmt.Fprint(&b, n.role, n.term, n.vote, n.leader, n.hasLeaderContact(), n.commit, n.applied, n.log.stable, n.votes,
--- a/coordination/raft/raft_test.go
+++ b/coordination/raft/raft_test.go
@@ -16,8 +16,8 @@
 	"sapphiregate.example/sapphiregate/invariant"
 )
 
-// TestMain fixes the seed of the property tests, so that every run gives the same verdict, and stops at a violated
-// invariant.
+// TestMain fixes the seed of the property tests, so that every run checks the same cases, and makes a violated
+// invariant fail the test.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "300", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -37,7 +37,7 @@
 
 func (c *cluster) status(id raft.MemberID) raft.Status { return c.member(id).node.Status() }
 
-func (c *cluster) others(leader *member) (*member, *member) {
+func (c *cluster) otherVoters(leader *member) (*member, *member) {
 	var list []*member
 	for _, m := range c.members {
 		if m != leader && m.node.Status().Membership.IsVoter(m.id) {
@@ -52,13 +52,13 @@
 	var leader, first, second *member
 	BeforeEach(func() {
 		c = newCluster(1, voters("a", "b", "c"), "d")
-		leader = c.elect()
+		leader = c.awaitLeader()
 		c.run(500 * time.Millisecond)
-		first, second = c.others(leader)
+		first, second = c.otherVoters(leader)
 	})
 
-	// Guards against a returning member that deposes a leader with a quorum.
-	It("keeps its leader and term when a cut-off member returns", func() {
+	// Guards against a member that deposes a leader with a quorum when it reconnects after a partition.
+	It("keeps its leader and term when a partitioned member reconnects", func() {
 		term := leader.node.Status().Term
 		c.isolate(first.id)
 		c.run(10 * time.Second)
@@ -69,8 +69,8 @@
 		Expect(c.status(first.id).Leader).To(Equal(leader.id))
 	})
 
-	// Guards against a leader that accepts proposals and confirms its state without a quorum.
-	It("makes a leader without a quorum step down and age", func() {
+	// Guards against a leader that accepts proposals or confirms its state without a quorum.
+	It("makes a leader without a quorum step down, and lets the age of its state grow", func() {
 		c.isolate(leader.id)
 		c.run(1500 * time.Millisecond)
 		s := leader.node.Status()
@@ -79,7 +79,7 @@
 		Expect(s.QuorumLost).To(BeTrue())
 		Expect(c.propose(leader, 1)).To(MatchError(raft.ErrNotLeader))
 		c.run(5 * time.Second)
-		age, ok := leader.node.ConfirmedAge(c.local(leader))
+		age, ok := leader.node.ConfirmedAge(c.clock(leader))
 		Expect(ok).To(BeTrue())
 		Expect(age).To(BeNumerically(">", 6*time.Second))
 		c.heal()
@@ -87,33 +87,33 @@
 		Expect(leader.node.Status().QuorumLost).To(BeFalse())
 	})
 
-	// Guards against members that serve nobody for a heartbeat and a poll after an election, though the leader knows
-	// that their state is current: after a loss of power everything waits for them.
+	// Guards against members that cannot serve reads until the next heartbeat and poll after an election, although the
+	// leader knows that their state is current. After a loss of power all other processes wait for them.
 	It("confirms the state of all members a few round trips after an election", func() {
 		for seed := range int64(20) {
 			c := newCluster(seed, voters("a", "b", "c"))
-			c.elect()
+			c.awaitLeader()
 			c.run(100 * time.Millisecond)
 			for _, m := range c.members {
-				_, confirmed := m.node.ConfirmedAge(c.local(m))
+				_, confirmed := m.node.ConfirmedAge(c.clock(m))
 				Expect(confirmed).To(BeTrue(), "seed %d, member %s", seed, m.id)
 			}
 		}
 	})
 
-	// Guards against a new leader that answers with the age of what it heard from its predecessor.
-	It("confirms the state of all members afresh after a change of the leader", func() {
+	// Guards against a new leader that replies to polls with the age that its predecessor confirmed.
+	It("confirms the state of all members again after a change of the leader", func() {
 		c.run(2 * time.Second)
 		c.crash(leader)
-		c.elect()
+		c.awaitLeader()
 		c.run(100 * time.Millisecond)
 		for _, m := range []*member{first, second} {
-			age, _ := m.node.ConfirmedAge(c.local(m))
+			age, _ := m.node.ConfirmedAge(c.clock(m))
 			Expect(age).To(BeNumerically("<", 200*time.Millisecond))
 		}
 	})
 
-	// Guards against a repair that leaves committed entries on too few members.
+	// Guards against a replacement of a member that leaves committed entries on too few members.
 	It("survives the loss of a second member right after a replacement", func() {
 		Expect(c.propose(leader, 60)).To(Succeed())
 		c.run(time.Second)
@@ -127,7 +127,7 @@
 		c.run(time.Second)
 		last := leader.node.Status().Commit
 		c.crash(leader)
-		successor := c.elect()
+		successor := c.awaitLeader()
 		Expect(successor.node.Status().Commit).To(BeNumerically(">", last))
 		Expect(c.propose(successor, 1)).To(Succeed())
 		c.run(time.Second)
@@ -155,7 +155,7 @@
 	})
 
 	// Guards against a member with a newer term that can neither win an election nor follow the leader.
-	It("takes back a member with a newer term", func() {
+	It("lets a member with a newer term rejoin", func() {
 		c.crash(first)
 		c.restart(first)
 		hs := raft.HardState{Term: 9, Vote: first.id}
@@ -167,8 +167,8 @@
 	})
 
 	It("transfers the leadership without an election timeout", func() {
-		Expect(leader.node.TransferLeadership(c.local(leader), "d")).To(MatchError(raft.ErrUnknownMember))
-		Expect(leader.node.TransferLeadership(c.local(leader), second.id)).To(Succeed())
+		Expect(leader.node.TransferLeadership(c.clock(leader), "d")).To(MatchError(raft.ErrUnknownMember))
+		Expect(leader.node.TransferLeadership(c.clock(leader), second.id)).To(Succeed())
 		Expect(c.propose(leader, 1)).To(MatchError(raft.ErrTransferring))
 		c.run(100 * time.Millisecond)
 		Expect(c.leader()).To(Equal(second))
@@ -188,7 +188,7 @@
 	// Guards against a follower that stays behind once the entries it lacks are compacted.
 	It("brings a follower up to date with a snapshot", func() {
 		c.isolate(first.id)
-		// The first snapshot is lost.
+		// The leader sends its first snapshot while the follower is partitioned, so that the snapshot is lost.
 		Expect(c.propose(leader, 200)).To(Succeed())
 		c.run(time.Second)
 		Expect(leader.node.Status().FirstIndex).To(BeNumerically(">", first.applied+1))
@@ -198,32 +198,32 @@
 		Expect(c.status(first.id).SnapshotIndex).To(BeNumerically(">", 100))
 	})
 
-	// Guards against heartbeats and polls that cost more than the data they protect.
+	// Guards against heartbeats and polls that cost more than the data that is replicated.
 	It("sends few and small messages while idle", func() {
 		c.run(time.Second)
-		c.record, c.sent = true, nil
+		c.recordMessages, c.recordedMessages = true, nil
 		c.run(10 * time.Second)
 		size := 0
-		for _, m := range c.sent {
+		for _, m := range c.recordedMessages {
 			data, err := cbor.Marshal(m)
 			Expect(err).NotTo(HaveOccurred())
 			size += len(data)
 		}
-		AddReportEntry("messages and bytes", []int{len(c.sent), size})
+		AddReportEntry("messages and bytes", []int{len(c.recordedMessages), size})
 		// Per follower and second: 7 heartbeats, 7 replies and 4 poll replies, of 25 bytes with IDs of one character.
-		Expect(len(c.sent)).To(BeNumerically("<=", 2*10*18))
+		Expect(len(c.recordedMessages)).To(BeNumerically("<=", 2*10*18))
 		Expect(size).To(BeNumerically("<=", 2*10*18*25))
 	})
 })
 
-// single drives one node whose peers b and c are played by the test.
-type single struct {
+// singleNode is node a of a group of three. The test sends it the messages of its peers b and c.
+type singleNode struct {
 	node *raft.Node
 	now  time.Time
 }
 
-func newSingle(hs raft.HardState, entries ...raft.Entry) *single {
-	s := &single{now: time.Unix(1000, 0)}
+func newSingleNode(hs raft.HardState, entries ...raft.Entry) *singleNode {
+	s := &singleNode{now: time.Unix(1000, 0)}
 	var err error
 	s.node, err = raft.New(s.now, raft.Config{ID: "a", Rand: rand.New(rand.NewSource(1))},
 		raft.Restored{HardState: hs, Entries: entries, Membership: voters("a", "b", "c")})
@@ -231,19 +231,19 @@
 	return s
 }
 
-func (s *single) step(from raft.MemberID, m raft.Message) {
+func (s *singleNode) step(from raft.MemberID, m raft.Message) {
 	m.From, m.To = from, "a"
 	Expect(s.node.Step(s.now, m)).To(Succeed())
 }
 
-func (s *single) advance() raft.Ready {
+func (s *singleNode) advance() raft.Ready {
 	r := s.node.Ready()
 	s.node.Advance(r)
 	return r
 }
 
-// lead makes the node the leader of the next term.
-func (s *single) lead() uint64 {
+// becomeLeader makes the node the leader of the next term.
+func (s *singleNode) becomeLeader() uint64 {
 	s.now = s.now.Add(2 * time.Second)
 	s.node.Tick(s.now)
 	term := s.node.Status().Term + 1
@@ -254,7 +254,7 @@
 	return term
 }
 
-func types(messages []raft.Message) []raft.MessageType {
+func messageTypes(messages []raft.Message) []raft.MessageType {
 	var list []raft.MessageType
 	for _, m := range messages {
 		list = append(list, m.Type)
@@ -263,37 +263,38 @@
 }
 
 var _ = Describe("A node", func() {
-	// Guards against a vote that a crash makes the member forget.
+	// Guards against two votes in one term: a member that crashes before its vote is durable could vote again.
 	It("sends a vote only after the write", func() {
-		s := newSingle(raft.HardState{Term: 1})
+		s := newSingleNode(raft.HardState{Term: 1})
 		s.step("b", raft.Message{Type: raft.MessageVote, Term: 2})
 		r := s.node.Ready()
 		Expect(r.MustSync).To(BeTrue())
 		Expect(r.HardState).To(Equal(raft.HardState{Term: 2, Vote: "b"}))
 		Expect(r.EarlyMessages).To(BeEmpty())
-		Expect(types(r.Messages)).To(Equal([]raft.MessageType{raft.MessageVoteReply}))
+		Expect(messageTypes(r.Messages)).To(Equal([]raft.MessageType{raft.MessageVoteReply}))
 		s.node.Advance(r)
 		s.step("c", raft.Message{Type: raft.MessageVote, Term: 2, Index: 9, LogTerm: 1})
 		Expect(s.advance().Messages[0].Reject).To(BeTrue())
 	})
 
-	// Guards against confirming entries that a crash would lose.
+	// Guards against confirming entries that a crash before the write would lose.
 	It("confirms entries only after the write", func() {
-		s := newSingle(raft.HardState{Term: 1})
+		s := newSingleNode(raft.HardState{Term: 1})
 		entry := raft.Entry{Index: 1, Term: 1, Kind: raft.EntryNoop}
 		s.step("b", raft.Message{Type: raft.MessageAppend, Term: 1, Entries: []raft.Entry{entry}})
 		r := s.node.Ready()
 		Expect(r.Entries).To(Equal([]raft.Entry{entry}))
-		Expect(types(r.EarlyMessages)).NotTo(ContainElement(raft.MessageAppendReply))
-		Expect(types(r.Messages)).To(Equal([]raft.MessageType{raft.MessageAppendReply}))
+		Expect(messageTypes(r.EarlyMessages)).NotTo(ContainElement(raft.MessageAppendReply))
+		Expect(messageTypes(r.Messages)).To(Equal([]raft.MessageType{raft.MessageAppendReply}))
 	})
 
-	// Guards against a leader that counts its own entries before they are durable, or that waits for its disk to send.
+	// Guards against a leader that counts its own entries before they are durable, or that delays messages until its disk
+	// has written.
 	It("sends appends early and counts itself after the write", func() {
-		s := newSingle(raft.HardState{})
-		term := s.lead()
+		s := newSingleNode(raft.HardState{})
+		term := s.becomeLeader()
 		r := s.node.Ready()
-		Expect(types(r.EarlyMessages)).To(ContainElement(raft.MessageAppend))
+		Expect(messageTypes(r.EarlyMessages)).To(ContainElement(raft.MessageAppend))
 		Expect(s.node.Status().Progress["a"].Match).To(BeZero())
 		s.step("b", raft.Message{Type: raft.MessageAppendReply, Term: term, Index: 1})
 		Expect(s.node.Status().Commit).To(BeZero(), "one of two needed copies is durable")
@@ -304,12 +305,13 @@
 		Expect(s.node.Status().Commit).To(Equal(uint64(1)))
 		s.advance()
 		s.step("b", raft.Message{Type: raft.MessageAppendReply, Term: term, Index: 2})
-		Expect(types(s.advance().EarlyMessages)).To(ContainElement(raft.MessageCommit), "announced at once")
+		Expect(messageTypes(s.advance().EarlyMessages)).To(ContainElement(raft.MessageCommit), "announced at once")
 	})
 
-	// Guards against a single voter that acts in a term which a crash makes it forget and use again.
+	// Guards against the only voter of a group using one term twice: if it sent entries before its new term is durable
+	// and crashed, it would start the same term again with other entries.
 	It("sends nothing in a new term before the term is durable", func() {
-		s := newSingle(raft.HardState{})
+		s := newSingleNode(raft.HardState{})
 		group := voters("a", "b")
 		group.Members[1].Learner = true
 		var err error
@@ -318,12 +320,12 @@
 		s.node.Tick(s.now.Add(2 * time.Second))
 		r := s.node.Ready()
 		Expect(r.EarlyMessages).To(BeEmpty())
-		Expect(types(r.Messages)).To(ContainElement(raft.MessageAppend))
+		Expect(messageTypes(r.Messages)).To(ContainElement(raft.MessageAppend))
 	})
 
-	// Guards against an election that drops entries, or that deposes a leader with a quorum.
-	It("refuses votes to shorter logs and while it hears a leader", func() {
-		s := newSingle(raft.HardState{Term: 1}, raft.Entry{Index: 1, Term: 1})
+	// Guards against an election that loses committed entries, or that deposes a leader with a quorum.
+	It("refuses votes to shorter logs and while it has contact with a leader", func() {
+		s := newSingleNode(raft.HardState{Term: 1}, raft.Entry{Index: 1, Term: 1})
 		s.step("b", raft.Message{Type: raft.MessageVote, Term: 2})
 		Expect(s.advance().Messages[0].Reject).To(BeTrue())
 		s.step("b", raft.Message{Type: raft.MessageHeartbeat, Term: 2})
@@ -333,9 +335,9 @@
 		Expect(s.advance().HardState.Vote).To(Equal(raft.MemberID("c")))
 	})
 
-	// Guards against committing, confirming or configuring by entries that were replaced.
-	It("forgets entries of a deposed leader", func() {
-		s := newSingle(raft.HardState{Term: 1}, raft.Entry{Index: 1, Term: 1})
+	// Guards against commits, durable writes and memberships that take effect although their entries were replaced.
+	It("discards entries of a deposed leader", func() {
+		s := newSingleNode(raft.HardState{Term: 1}, raft.Entry{Index: 1, Term: 1})
 		changed, err := cbor.Marshal(voters("a", "b", "c", "d"))
 		Expect(err).NotTo(HaveOccurred())
 		replaced := raft.Entry{Index: 2, Term: 1, Kind: raft.EntryMembership, Data: changed}
@@ -353,9 +355,9 @@
 		Expect(s.node.Ready().Entries).To(Equal([]raft.Entry{entry}))
 	})
 
-	// Guards against an election on the base of a snapshot that a crash would lose.
+	// Guards against an election won with a snapshot that a crash before the write would lose.
 	It("starts no election before a snapshot is durable", func() {
-		s := newSingle(raft.HardState{Term: 1})
+		s := newSingleNode(raft.HardState{Term: 1})
 		snapshot := raft.Snapshot{Index: 5, Term: 1, Membership: voters("a", "b", "c")}
 		s.step("b", raft.Message{Type: raft.MessageSnapshot, Term: 1, Snapshot: &snapshot})
 		s.node.Tick(s.now.Add(5 * time.Second))
@@ -367,8 +369,8 @@
 
 	// Guards against committing an entry of an earlier term by counting copies: a later leader could replace it.
 	It("commits earlier entries only with one of its own term", func() {
-		s := newSingle(raft.HardState{Term: 2}, raft.Entry{Index: 1, Term: 1}, raft.Entry{Index: 2, Term: 2})
-		term := s.lead()
+		s := newSingleNode(raft.HardState{Term: 2}, raft.Entry{Index: 1, Term: 1}, raft.Entry{Index: 2, Term: 2})
+		term := s.becomeLeader()
 		s.advance()
 		s.step("b", raft.Message{Type: raft.MessageAppendReply, Term: term, Index: 2})
 		Expect(s.node.Status().Commit).To(BeZero())
@@ -376,10 +378,10 @@
 		Expect(s.node.Status().Commit).To(Equal(uint64(3)))
 	})
 
-	// Guards against a flood of unconfirmed appends to a slow follower, and against unbounded memory.
-	It("limits unanswered appends and uncommitted bytes", func() {
-		s := newSingle(raft.HardState{})
-		term := s.lead()
+	// Guards against unlimited appends to a follower that does not reply, and against unlimited memory for proposals.
+	It("limits appends without a reply and uncommitted bytes", func() {
+		s := newSingleNode(raft.HardState{})
+		term := s.becomeLeader()
 		s.step("b", raft.Message{Type: raft.MessageAppendReply, Term: term, Index: 1})
 		s.advance()
 		for range 100 {
@@ -399,17 +401,18 @@
 		Expect(err).To(MatchError(raft.ErrTooLarge))
 	})
 
-	// Guards against a reply that outlived the restart of its poller: it would make the state seem younger than it is.
-	It("ignores answers to polls of an earlier run", func() {
-		s := newSingle(raft.HardState{Term: 1})
+	// Guards against a reply that arrives after the member which sent the poll has restarted. If it matched a poll of the
+	// new run, the state would seem younger than it is.
+	It("ignores replies to polls that it sent before a restart", func() {
+		s := newSingleNode(raft.HardState{Term: 1})
 		s.step("b", raft.Message{Type: raft.MessageHeartbeat, Term: 1, Round: 1})
 		poll := s.advance().EarlyMessages[0].Poll
-		restarted := &single{now: s.now}
+		restarted := &singleNode{now: s.now}
 		var err error
 		restarted.node, err = raft.New(s.now, raft.Config{ID: "a", Rand: rand.New(rand.NewSource(2))},
 			raft.Restored{HardState: raft.HardState{Term: 1}, Membership: voters("a", "b", "c")})
 		Expect(err).NotTo(HaveOccurred())
-		for _, node := range []*single{restarted, s} {
+		for _, node := range []*singleNode{restarted, s} {
 			node.step("b", raft.Message{Type: raft.MessageHeartbeat, Term: 1, Round: 1})
 			node.step("b", raft.Message{Type: raft.MessagePollReply, Term: 1, Poll: poll, Age: time.Second})
 		}
@@ -420,7 +423,7 @@
 	})
 
 	It("refuses malformed messages and inconsistent state", func() {
-		s := newSingle(raft.HardState{Term: 1})
+		s := newSingleNode(raft.HardState{Term: 1})
 		gap := []raft.Entry{{Index: 3, Term: 1}}
 		Expect(s.node.Step(s.now, raft.Message{From: "b", To: "a", Type: raft.MessageAppend, Term: 1, Entries: gap})).
 			To(MatchError(raft.ErrInvalidMessage))
--- a/coordination/raft/random_test.go
+++ b/coordination/raft/random_test.go
@@ -17,9 +17,9 @@
 		c := newCluster(rapid.Int64().Draw(t, "seed"), rapid.SampledFrom([]raft.Membership{voters("a", "b", "c"), voters("a", "b", "c", "d", "e")}).Draw(t, "voters"), "f", "g")
 		c.loss = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss")
 		c.duplication = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "duplication")
-		c.delay = time.Duration(rapid.SampledFrom([]int{0, 20, 200}).Draw(t, "delay")) * time.Millisecond
-		c.write = time.Duration(rapid.SampledFrom([]int{0, 10, 100}).Draw(t, "write")) * time.Millisecond
-		c.crashWrites = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "crashWrites")
+		c.maxExtraDelay = time.Duration(rapid.SampledFrom([]int{0, 20, 200}).Draw(t, "delay")) * time.Millisecond
+		c.maxWriteTime = time.Duration(rapid.SampledFrom([]int{0, 10, 100}).Draw(t, "write")) * time.Millisecond
+		c.crashProbability = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "crashWrites")
 		c.run(2 * time.Second)
 		for range rapid.IntRange(10, 60).Draw(t, "actions") {
 			m := c.members[rapid.IntRange(0, len(c.members)-1).Draw(t, "member")]
@@ -27,15 +27,15 @@
 			c.run(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 		}
 		c.recoverAll(t)
-		lagChecks, commits, leaders = lagChecks+c.lagChecks, commits+len(c.states), leaders+len(c.leaders)
+		lagChecks, commits, leaders = lagChecks+c.ageChecks, commits+len(c.states), leaders+len(c.leaders)
 	})
-	t.Logf("%d age checks of lagging members, %d entries, %d terms with a leader, %d removals", lagChecks, commits, leaders, removals)
+	t.Logf("%d age checks of members that lack entries, %d entries, %d terms with a leader, %d removals", lagChecks, commits, leaders, removals)
 	if lagChecks < 1000 || commits < 1000 || removals < 10 {
-		t.Error("the schedules hardly exercise the group")
+		t.Error("too few age checks, entries or removals: the schedules hardly exercise the group")
 	}
 }
 
-// act applies one fault or request. It returns 1 if a member is removed.
+// act injects one fault or makes one request. It returns the number of members whose removal was proposed, 0 or 1.
 func (c *cluster) act(t *rapid.T, action int, m *member) int {
 	leader := c.leader()
 	switch action {
@@ -53,12 +53,12 @@
 		c.isolate(m.id, c.members[rapid.IntRange(0, len(c.members)-1).Draw(t, "second")].id)
 	case 5:
 		other := c.members[rapid.IntRange(0, len(c.members)-1).Draw(t, "receiver")]
-		c.cut[[2]raft.MemberID{m.id, other.id}] = true
+		c.blockedLinks[[2]raft.MemberID{m.id, other.id}] = true
 	case 6, 7:
 		c.heal()
 	case 8:
 		if leader != nil {
-			_ = leader.node.TransferLeadership(c.local(leader), m.id)
+			_ = leader.node.TransferLeadership(c.clock(leader), m.id)
 		}
 	case 9:
 		if leader == nil {
@@ -79,17 +79,17 @@
 	return 0
 }
 
-// recoverAll ends all faults and expects the group to commit and to bring all members up to date.
+// recoverAll ends all faults, restarts crashed members and expects the group to commit an entry on all members.
 func (c *cluster) recoverAll(t *rapid.T) {
 	c.heal()
-	c.loss, c.duplication, c.crashWrites, c.delay, c.write = 0, 0, 0, 0, 2*time.Millisecond
+	c.loss, c.duplication, c.crashProbability, c.maxExtraDelay, c.maxWriteTime = 0, 0, 0, 0, 2*time.Millisecond
 	for _, m := range c.members {
 		if m.node == nil {
 			c.restart(m)
 		}
 	}
 	c.run(8 * time.Second)
-	leader := c.elect()
+	leader := c.awaitLeader()
 	if err := c.propose(leader, 1); err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 	}
 	for _, member := range leader.node.Status().Membership.Members {
 		m := c.member(member.ID)
-		age, ok := m.node.ConfirmedAge(c.local(m))
+		age, ok := m.node.ConfirmedAge(c.clock(m))
 		if m.applied != last || !ok || age > time.Second {
 			t.Fatalf("%s applied %d of %d, age %v (%v)", m.id, m.applied, last, age, ok)
 		}
