--- a/coordination/raft/node.go
+++ b/coordination/raft/node.go
@@ -33,10 +33,12 @@
 	persistedTerm uint64
 	persistedVote MemberID
 
-	log             memoryLog
-	snapshot        Snapshot
+	log      memoryLog
+	snapshot Snapshot
+	// pendingSnapshot is a received snapshot that is not durable yet.
 	pendingSnapshot *Snapshot
-	memberships     []membershipRecord
+	// memberships holds the membership at the last snapshot and those of later entries, in order of their index.
+	memberships []membershipRecord
 
 	role             Role
 	leader           MemberID
@@ -48,8 +50,10 @@
 	leaderState leaderState
 	freshness   freshness
 
+	// earlyMessages and messages become Ready.EarlyMessages and Ready.Messages.
 	earlyMessages, messages []Message
-	readyPending            bool
+	// readyPending is set from Ready until Advance.
+	readyPending bool
 }
 
 // leaderState is the state of a leader.
@@ -58,12 +62,13 @@
 	termStart        uint64 // index of the first entry of this term
 	uncommittedBytes int
 	nextHeartbeat    time.Time
-	round            uint64
-	rounds           []round
+	round            uint64  // number of the last heartbeat round
+	rounds           []round // rounds to which a quorum has not replied yet
 	// stateConfirmed is set once a quorum has confirmed the state as current in this term. deferredPolls holds the number
 	// of each member's last poll until then.
-	stateConfirmed   bool
-	deferredPolls    map[MemberID]uint64
+	stateConfirmed bool
+	deferredPolls  map[MemberID]uint64
+	// transferee is the target of a leadership transfer in progress, which is given up at transferDeadline.
 	transferee       MemberID
 	transferDeadline time.Time
 	// replicationPending is set if entries or a commit index may have to be sent to members.
