--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -16,8 +16,8 @@
 	// Budget is the retry budget of the call's route.
 	Budget   *retry.Budget
 	Deadline time.Time
-	// UnderRetry is set for calls that carry the Sapphire-Retry header: they belong to a retry and are not retried again.
-	UnderRetry bool
+	// WithinRetry is set for calls with the header Sapphire-Retry. They belong to a retry and are not retried again.
+	WithinRetry bool
 	// Resendable is set if the request's body is kept whole. Otherwise part of it is gone after the first attempt.
 	Resendable bool
 	// Exclusive is set for requests that are suspect of crashing upstreams.
@@ -144,7 +144,7 @@
 
 func (c *Call) attempt(now time.Time, outcome retry.Outcome) retry.Attempt {
 	return retry.Attempt{
-		Class: c.config.Class, Outcome: outcome, Number: c.attempts, WithinRetry: c.config.UnderRetry,
+		Class: c.config.Class, Outcome: outcome, Number: c.attempts, WithinRetry: c.config.WithinRetry,
 		Suspect: c.suspect, Remaining: c.config.Deadline.Sub(now),
 	}
 }
