--- a/coordination/relay/bench_test.go
+++ b/coordination/relay/bench_test.go
@@ -53,7 +53,7 @@
 	RegisterTestingT(tb)
 	b := &bench{now: time.Unix(1_700_000_000, 0), parent: relay.OutboundLink | 1}
 	b.peer = relay.New(b.now, relay.Config{
-		ID: "n0", Zone: "zone-00", Address: "n0", Incarnation: 1, JoinAddresses: []string{"m0"}, Keys: keys{},
+		ID: "n0", Zone: "zone-00", Address: "n0", Incarnation: 1, JoinAddresses: []string{"m0"}, Keys: hashVerifier{},
 		Rand: rand.New(rand.NewSource(1)), FanOut: benchChildren + 1,
 	})
 	b.now = b.now.Add(2 * time.Second)
@@ -91,7 +91,7 @@
 	for _, output := range b.peer.Outputs() {
 		switch o := output.(type) {
 		case relay.Send:
-			b.bytes += size(o.Message)
+			b.bytes += encodedSize(o.Message)
 			b.sent++
 		case relay.Activate:
 			b.peer.Activated(b.now, o.Approval.Version)
--- a/coordination/relay/fault_test.go
+++ b/coordination/relay/fault_test.go
@@ -9,22 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-// countWindow is the time for which counts may include a node that has died: one silence limit per level.
-const countWindow = 24 * time.Second
+// staleCountWindow is the time for which counts may include a node that has died: one silence limit per level.
+const staleCountWindow = 24 * time.Second
 
 // fault is one disturbance after a pause.
 type fault struct{ kind, host, pause, length int }
 
-// faults disturbs a mesh until the faults end.
-func (s *sim) faults(next func() (fault, bool)) {
+// scheduleFaults disturbs a mesh until the scheduleFaults end.
+func (s *sim) scheduleFaults(next func() (fault, bool)) {
 	f, more := next()
 	if !more {
 		return
 	}
-	s.at(s.now+time.Duration(f.pause)*time.Millisecond, func() {
-		s.disturb(f)
-		s.checkTree(countWindow)
-		s.faults(next)
+	s.schedule(s.now+time.Duration(f.pause)*time.Millisecond, func() {
+		s.inject(f)
+		s.checkTree(staleCountWindow)
+		s.scheduleFaults(next)
 	})
 }
 
@@ -35,24 +35,24 @@
 	}
 }
 
-func (s *sim) disturb(f fault) {
+func (s *sim) inject(f fault) {
 	h := s.hosts[s.ids[f.host]]
 	length := time.Duration(f.length) * time.Millisecond
 	switch f.kind {
 	case 0, 1:
 		s.restart(h, length/2)
 	case 2:
-		for _, c := range h.sorted() {
+		for _, c := range h.sortedLinks() {
 			s.breakLink(c)
 		}
 	case 3:
 		s.isolate(h, length)
 	case 4:
-		s.detached[h.id] = true
-		s.at(s.now+2*length, func() { delete(s.detached, h.id) })
+		s.withoutQuorum[h.id] = true
+		s.schedule(s.now+2*length, func() { delete(s.withoutQuorum, h.id) })
 	case 5:
 		digest := s.stage(bundleOf(len(s.staged)+1, 12))
-		s.at(s.now+length/10, func() { s.approve(digest) })
+		s.schedule(s.now+length/10, func() { s.approve(digest) })
 	}
 }
 
@@ -61,28 +61,28 @@
 		return
 	}
 	s.kill(h)
-	s.at(s.now+pause, func() { s.start(h) })
+	s.schedule(s.now+pause, func() { s.start(h) })
 }
 
 // isolate cuts a host off silently. Only one host is cut off at a time.
 func (s *sim) isolate(h *host, duration time.Duration) {
 	s.blocked = func(a, b *host) bool { return a == h || b == h }
-	s.at(s.now+duration, func() { s.blocked = func(a, b *host) bool { return false } })
+	s.schedule(s.now+duration, func() { s.blocked = func(a, b *host) bool { return false } })
 }
 
 func (s *sim) heal() {
 	s.blocked = func(a, b *host) bool { return false }
-	clear(s.detached)
-	s.loss, s.dup, s.corrupt, s.omit = 0, 0, 0, 0
+	clear(s.withoutQuorum)
+	s.loss, s.duplicate, s.corrupt, s.omit = 0, 0, 0, 0
 }
 
-// faulty returns a mesh of three zones, one without a member, that loses, repeats and corrupts messages.
-func faulty(seed int64, nodesPerZone int) *sim {
+// faultyMesh returns a mesh of three zones, one without a member, that loses, repeats and corrupts messages.
+func faultyMesh(seed int64, nodesPerZone int) *sim {
 	s := newSim(seed)
-	mesh(s, 3, nodesPerZone, 2)
+	addMesh(s, 3, nodesPerZone, 2)
 	s.approve(s.stage(bundleOf(1, 12)))
 	s.run(5 * time.Second)
-	s.loss, s.dup, s.corrupt, s.omit = 0.02, 0.02, 0.05, 0.05
+	s.loss, s.duplicate, s.corrupt, s.omit = 0.02, 0.02, 0.05, 0.05
 	return s
 }
 
@@ -104,8 +104,8 @@
 var _ = Describe("Faults", func() {
 	for seed := range int64(12) {
 		It(fmt.Sprint("are survived, seed ", seed), func() {
-			s := faulty(100+seed, 12)
-			s.faults(s.randomFaults(60 * time.Second))
+			s := faultyMesh(100+seed, 12)
+			s.scheduleFaults(s.randomFaults(60 * time.Second))
 			s.run(70 * time.Second)
 			s.expectRecovery()
 		})
@@ -116,7 +116,7 @@
 		defer RegisterFailHandler(Fail)
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			RegisterFailHandler(func(message string, _ ...int) { t.Fatal(message) })
-			s := faulty(rapid.Int64().Draw(t, "seed"), 5)
+			s := faultyMesh(rapid.Int64().Draw(t, "seed"), 5)
 			schedule := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
 				return fault{
 					kind:   rapid.IntRange(0, 5).Draw(t, "kind"),
@@ -125,7 +125,7 @@
 					length: rapid.IntRange(0, 10_000).Draw(t, "length"),
 				}
 			}), 1, 30).Draw(t, "schedule")
-			s.faults(func() (fault, bool) {
+			s.scheduleFaults(func() (fault, bool) {
 				if len(schedule) == 0 {
 					return fault{}, false
 				}
--- a/coordination/relay/scenario_test.go
+++ b/coordination/relay/scenario_test.go
@@ -16,10 +16,10 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// settled returns a mesh with the first version in force everywhere.
-func settled(seed int64, zones, nodesPerZone int, without ...int) *sim {
+// settledMesh returns a mesh with the first version in force everywhere.
+func settledMesh(seed int64, zones, nodesPerZone int, without ...int) *sim {
 	s := newSim(seed)
-	mesh(s, zones, nodesPerZone, without...)
+	addMesh(s, zones, nodesPerZone, without...)
 	first := s.approve(s.stage(bundleOf(1, 20)))
 	s.run(5 * time.Second)
 	s.await(10*time.Second, s.allInForce(first))
@@ -27,22 +27,22 @@
 	return s
 }
 
-// quickTimes suits a deployment in which a version comes into force within 2 s also beside a member that has just been
+// shortIntervals suits a deployment in which a version comes into force within 2 s also beside a member that has just been
 // cut off.
-func quickTimes(c *relay.Config) {
+func shortIntervals(c *relay.Config) {
 	c.PollInterval, c.StaleAfter = 400*time.Millisecond, 1200*time.Millisecond
 	c.HomeProbeInterval = 2 * time.Second
 	c.JoinJitter, c.MaxProbeInterval, c.PreferMembers = 200*time.Millisecond, 600*time.Millisecond, true
 	c.ZoneFollowers, c.RemoteFollowers = 32, 32
 }
 
-// quickMesh is a mesh of three zones with quickTimes.
-func quickMesh(seed int64) *sim {
+// fastMesh is a mesh of three zones with quickTimes.
+func fastMesh(seed int64) *sim {
 	s := newSim(seed)
-	mesh(s, 3, 4)
+	addMesh(s, 3, 4)
 	for _, id := range s.ids {
 		h := s.hosts[id]
-		h.config = quickTimes
+		h.config = shortIntervals
 		if h.member {
 			s.kill(h)
 			s.start(h)
@@ -56,11 +56,11 @@
 var _ = Describe("Catch-up", func() {
 	// Guards against replaying missed versions one by one, or sending more than the whole bundle.
 	It("takes one message after 300 missed versions", func() {
-		s := settled(3, 2, 6)
+		s := settledMesh(3, 2, 6)
 		node := s.hosts["n1-005"]
 		s.isolate(node, 60*time.Second)
 		for version := range 300 {
-			s.at(s.now+time.Duration(version)*100*time.Millisecond, func() { s.approve(s.stage(bundleOf(version+2, 20))) })
+			s.schedule(s.now+time.Duration(version)*100*time.Millisecond, func() { s.approve(s.stage(bundleOf(version+2, 20))) })
 		}
 		s.run(s.now + 59*time.Second)
 		Expect(node.inForce).To(BeNumerically("==", 1))
@@ -68,7 +68,7 @@
 		s.onSend = func(_, to *host, m relay.Message) {
 			if to == node && m.Parts != nil {
 				messages++
-				bytes += size(m)
+				bytes += encodedSize(m)
 			}
 		}
 		s.run(s.now + time.Second)
@@ -78,15 +78,15 @@
 		GinkgoWriter.Println("caught up after", took, "with", bytes, "bytes; whole bundle", len(whole))
 		Expect(messages).To(Equal(1))
 		Expect(bytes).To(BeNumerically("<=", len(whole)+100))
-		Expect(node.reached).To(HaveLen(2))
+		Expect(node.firstInForce).To(HaveLen(2))
 	})
 })
 
 var _ = Describe("Partition", func() {
 	// Guards against a member without a quorum keeping its zone on an old version.
 	It("leaves a member that is cut off, and returns to it", func() {
-		s := settled(4, 3, 5)
-		s.detached["m1"] = true
+		s := settledMesh(4, 3, 5)
+		s.withoutQuorum["m1"] = true
 		s.blocked = func(a, b *host) bool { return a.member && b.member && (a.id == "m1" || b.id == "m1") }
 		s.run(s.now + 20*time.Second)
 		version := s.approve(s.stage(bundleOf(2, 20)))
@@ -105,9 +105,9 @@
 	// cut off from the quorum, while they reach the other members.
 	It("leaves a member that is cut off within the time of a short limit", func() {
 		for seed := range int64(10) {
-			s := quickMesh(seed)
+			s := fastMesh(seed)
 			s.run(30 * time.Second)
-			s.detached["m1"] = true
+			s.withoutQuorum["m1"] = true
 			s.blocked = func(a, b *host) bool { return a.member && b.member && (a.id == "m1" || b.id == "m1") }
 			s.run(s.now + time.Second)
 			version := s.approve(s.stage(bundleOf(2, 20)))
@@ -119,10 +119,10 @@
 	// node notices a member that was cut off later than others do.
 	It("follows members as long as they have room", func() {
 		for seed := range int64(10) {
-			s := quickMesh(seed)
+			s := fastMesh(seed)
 			s.run(30 * time.Second)
 			node := s.hosts["n1-002"]
-			s.detached["m1"] = true
+			s.withoutQuorum["m1"] = true
 			s.blocked = func(a, b *host) bool { return a.member && b.member && (a.id == "m1" || b.id == "m1") }
 			s.run(s.now + 5*time.Second)
 			s.heal()
@@ -142,10 +142,10 @@
 			var nodes []*host
 			for z := range 3 {
 				zone := fmt.Sprintf("z%d", z)
-				s.add(fmt.Sprintf("m%d", z), zone, true).config = quickTimes
+				s.add(fmt.Sprintf("m%d", z), zone, true).config = shortIntervals
 				for n := range 8 {
 					h := s.add(fmt.Sprintf("n%d-%03d", z, n), zone, false, "m0", "m1", "m2")
-					h.config = quickTimes
+					h.config = shortIntervals
 					nodes = append(nodes, h)
 				}
 			}
@@ -155,12 +155,12 @@
 				s.start(s.hosts[m.ID])
 			}
 			for _, h := range nodes {
-				s.at(time.Duration(s.rng.Intn(300))*time.Millisecond, func() { s.start(h) })
+				s.schedule(time.Duration(s.rng.Intn(300))*time.Millisecond, func() { s.start(h) })
 			}
 			s.run(800 * time.Millisecond)
 			s.members = members
 			for _, m := range members {
-				s.hosts[m.ID].peer.SetMembers(s.local(s.hosts[m.ID]), members)
+				s.hosts[m.ID].peer.SetMembers(s.localTime(s.hosts[m.ID]), members)
 			}
 			s.run(s.now + 300*time.Millisecond)
 			copies := 0
@@ -179,15 +179,15 @@
 	// a split of the members, the greater half elects a leader a little later than the nodes notice.
 	It("finds the members that have a quorum again soon after they do", func() {
 		for seed := range int64(10) {
-			s := quickMesh(seed)
+			s := fastMesh(seed)
 			s.run(30 * time.Second)
 			for _, m := range s.members {
-				s.detached[m.ID] = true
+				s.withoutQuorum[m.ID] = true
 			}
 			s.blocked = func(a, b *host) bool { return a.member && b.member && (a.id == "m1" || b.id == "m1") }
 			s.run(s.now + 1800*time.Millisecond)
-			delete(s.detached, "m0")
-			delete(s.detached, "m2")
+			delete(s.withoutQuorum, "m0")
+			delete(s.withoutQuorum, "m2")
 			version := s.approve(s.stage(bundleOf(2, 20)))
 			s.await(2*time.Second, s.allInForce(version))
 		}
@@ -198,8 +198,8 @@
 	// for ten minutes.
 	for _, length := range []time.Duration{3 * time.Minute, time.Hour} {
 		It(fmt.Sprint("gives a restarted node no version while its zone is cut off, and converges, after ", length), func() {
-			s := settled(5, 3, 4)
-			s.detached["m1"] = true
+			s := settledMesh(5, 3, 4)
+			s.withoutQuorum["m1"] = true
 			s.blocked = func(a, b *host) bool { return (a.zone == "z1") != (b.zone == "z1") }
 			second := s.approve(s.stage(bundleOf(2, 20)))
 			s.run(s.now + 5*time.Second)
@@ -224,13 +224,13 @@
 var _ = Describe("Stop", func() {
 	// Guards against a stopped version spreading further, and against a rollback where it was applied.
 	It("keeps what each node holds, and gives the stopped version to empty nodes", func() {
-		s := settled(6, 1, 4)
+		s := settledMesh(6, 1, 4)
 		late := s.hosts["n0-003"]
 		s.isolate(late, 8*time.Second)
 		version := s.approve(s.stage(bundleOf(2, 20)))
 		s.run(s.now + time.Second)
 		s.history[version-1].Stopped = true
-		s.hosts["m0"].applied = 0
+		s.hosts["m0"].appliedSource = 0
 		s.run(s.now + 20*time.Second)
 		Expect(late.inForce).To(BeNumerically("==", 1))
 		Expect(s.hosts["n0-001"].inForce).To(Equal(version))
@@ -244,7 +244,7 @@
 })
 
 var _ = Describe("Refusal", func() {
-	reasons := func(s *sim) string {
+	lagReasons := func(s *sim) string {
 		var all []string
 		for _, lag := range s.hosts["m0"].peer.Status().Subtree.Lagging {
 			all = append(all, lag.Reason)
@@ -254,13 +254,13 @@
 
 	// Guards against an invalid bundle being applied in part, and against one that blocks its successors.
 	It("refuses a bundle that fails as a whole and reports the reason", func() {
-		s := settled(7, 1, 3)
+		s := settledMesh(7, 1, 3)
 		dangling := bundleOf(2, 20)
 		dangling.Routes[0].Service = "missing"
 		s.approve(s.stage(dangling))
 		s.run(s.now + 3*time.Second)
 		Expect(s.allInForce(1)()).To(BeTrue())
-		Expect(reasons(s)).To(ContainSubstring("missing service"))
+		Expect(lagReasons(s)).To(ContainSubstring("missing service"))
 
 		for _, h := range s.nodes() {
 			h.config = func(c *relay.Config) {
@@ -274,23 +274,23 @@
 		s.start(s.hosts["n0-000"])
 		s.run(s.now + 5*time.Second)
 		Expect(s.hosts["n0-000"].inForce).To(BeZero())
-		Expect(reasons(s)).To(ContainSubstring("validation: queue limit"))
+		Expect(lagReasons(s)).To(ContainSubstring("validation: queue limit"))
 	})
 
 	// Guards the memory of a node against content that grows without bound when it is decompressed.
 	It("refuses content that decompresses to more than the bound", func() {
-		s := settled(15, 1, 1)
+		s := settledMesh(15, 1, 1)
 		node := s.hosts["n0-000"]
 		data, err := relay.Pack(make([]byte, 64<<20))
 		Expect(err).NotTo(HaveOccurred())
 		for link := range node.links {
-			node.peer.Step(s.local(node), link, relay.Message{Parts: &relay.Parts{Target: bundle.Digest{1}, Data: data}})
+			node.peer.Step(s.localTime(node), link, relay.Message{Parts: &relay.Parts{Target: bundle.Digest{1}, Data: data}})
 		}
 		Expect(node.peer.Status().Stats.CorruptMessages).To(BeNumerically("==", 1))
 	})
 
 	It("neither applies nor passes on an approval with a bad signature", func() {
-		s := settled(8, 1, 20)
+		s := settledMesh(8, 1, 20)
 		s.approve(s.stage(bundleOf(2, 20)))
 		s.history[1].Approval.Signature[0] ^= 1
 		received := make(map[string]bool)
@@ -301,13 +301,13 @@
 		}
 		s.run(s.now + 3*time.Second)
 		Expect(s.allInForce(1)()).To(BeTrue())
-		Expect(reasons(s)).To(ContainSubstring("bad signature"))
+		Expect(lagReasons(s)).To(ContainSubstring("bad signature"))
 		Expect(received).To(Equal(map[string]bool{"m0": true}))
 	})
 })
 
 var _ = Describe("Endpoints", func() {
-	everywhere := func(s *sim, id string, state endpoints.State) func() bool {
+	inStateOnAllNodes := func(s *sim, id string, state endpoints.State) func() bool {
 		return func() bool {
 			return !slices.ContainsFunc(s.nodes(), func(h *host) bool {
 				r, ok := h.peer.Table().Get(id)
@@ -318,7 +318,7 @@
 
 	// Guards invariant late_drain_work: an upstream that drains gets no new work after 3 s.
 	It("spreads a draining upstream to all zones within 3 s on lossy links, once per link", func() {
-		s := settled(9, 4, 40)
+		s := settledMesh(9, 4, 40)
 		s.loss = 0.05
 		node := s.hosts["n3-039"]
 		links := make(map[string]int)
@@ -328,8 +328,8 @@
 				links[to.id+">"+from.id] += 0
 			}
 		}
-		node.peer.Announce(s.local(node), endpoints.Record{State: endpoints.Draining, Service: "rank", Address: node.id})
-		took := s.await(3*time.Second, everywhere(s, node.id, endpoints.Draining))
+		node.peer.Announce(s.localTime(node), endpoints.Record{State: endpoints.Draining, Service: "rank", Address: node.id})
+		took := s.await(3*time.Second, inStateOnAllNodes(s, node.id, endpoints.Draining))
 		GinkgoWriter.Println("draining known after", took)
 		s.run(s.now + time.Second)
 		for link, count := range links {
@@ -340,19 +340,19 @@
 
 	// Guards against upstreams of dead racks and zones staying in the table: parents and children die together.
 	It("removes the nodes of a zone that fails as a whole, and takes them back", func() {
-		s := settled(10, 3, 30)
-		var dead []*host
+		s := settledMesh(10, 3, 30)
+		var failed []*host
 		for _, id := range s.ids {
 			if h := s.hosts[id]; h.zone == "z1" {
 				s.kill(h)
-				dead = append(dead, h)
+				failed = append(failed, h)
 			}
 		}
 		took := s.await(2*time.Minute, s.sameTables)
 		GinkgoWriter.Println("no record of the zone in use after", took)
 		s.run(s.now + 2*time.Minute)
 		Expect(s.hosts["n0-000"].peer.Table().Len()).To(Equal(60))
-		for _, h := range dead {
+		for _, h := range failed {
 			s.start(h)
 		}
 		took = s.await(30*time.Second, s.sameTables)
@@ -360,13 +360,13 @@
 	})
 
 	It("hands a crash report to every node once, also to one that joins later", func() {
-		s := settled(11, 3, 10)
+		s := settledMesh(11, 3, 10)
 		seen := make(map[string]int)
 		s.onCrash = func(h *host, reports []relay.CrashReport) { seen[h.id] += len(reports) }
-		s.dup = 0.2
+		s.duplicate = 0.2
 		source := s.hosts["n2-007"]
 		report := relay.CrashReport{Upstream: source.id, Incarnation: 7, Sequence: 1, Payload: []byte("report")}
-		source.peer.PublishCrashes(s.local(source), []relay.CrashReport{report})
+		source.peer.PublishCrashes(s.localTime(source), []relay.CrashReport{report})
 		s.run(s.now + 2*time.Second)
 		late := s.add("late", "z0", false, "m0")
 		s.start(late)
@@ -383,7 +383,7 @@
 	// without a member. The limit of 1.2 is the target of section 1 of the design.
 	It("carry a change once per zone", func() {
 		const zones, withMember = 4, 3
-		s := settled(12, zones, 30, 3)
+		s := settledMesh(12, zones, 30, 3)
 		clear(s.bytes)
 		digest := s.stage(bundleOf(2, 20))
 		s.run(s.now + time.Second)
@@ -398,7 +398,7 @@
 		packed, err := relay.Pack(update)
 		Expect(err).NotTo(HaveOccurred())
 		message := relay.Message{Parts: &relay.Parts{Base: update.Base, Target: update.Target, Data: packed}}
-		change := size(message) + size(relay.Message{Approved: &s.history[1]})
+		change := encodedSize(message) + encodedSize(relay.Message{Approved: &s.history[1]})
 		ideal := change * (zones - 1)
 		sent := s.bytes["zone:parts"] + s.bytes["zone:approved"]
 		GinkgoWriter.Println("change", change, "bytes; relay between zones", sent, "; in all", s.bytes, "; log", change*(withMember-1))
@@ -407,8 +407,8 @@
 	})
 })
 
-// pairOf returns a member and a node that are linked over a lossy link.
-func pairOf(seed int64, loss float64) *sim {
+// lossyPair returns a member and a node that are linked over a lossy link.
+func lossyPair(seed int64, loss float64) *sim {
 	s := newSim(seed)
 	s.start(s.add("m0", "z0", true))
 	s.start(s.add("n0", "z0", false, "m0"))
@@ -422,7 +422,7 @@
 	// be delayed by more than 3 s less the time since the poll before it: at least four losses in a row.
 	It("suspects a live node as rarely as derived", func() {
 		const loss, polls = 0.2, 40_000
-		s := pairOf(13, loss)
+		s := lossyPair(13, loss)
 		s.run(s.now + polls*time.Second)
 		suspected := s.hosts["m0"].peer.Status().Stats.Suspected
 		derived := polls * loss * loss * loss * loss
@@ -432,14 +432,14 @@
 	})
 
 	It("has no false alarm in ten hours at 1% loss", func() {
-		s := pairOf(14, 0.01)
+		s := lossyPair(14, 0.01)
 		s.run(s.now + 10*time.Hour)
 		Expect(s.hosts["m0"].peer.Status().Stats.Suspected).To(BeZero())
 	})
 })
 
-// mesh adds members and nodes: one member per zone unless the zone is named in without.
-func mesh(s *sim, zones, nodesPerZone int, without ...int) {
+// addMesh adds members and nodes: one member per zone unless the zone is named in without.
+func addMesh(s *sim, zones, nodesPerZone int, without ...int) {
 	for z := range zones {
 		skip := false
 		for _, w := range without {
@@ -450,12 +450,12 @@
 		}
 	}
 	for _, m := range s.members {
-		s.hosts[m.ID].peer.SetMembers(s.local(s.hosts[m.ID]), s.members)
+		s.hosts[m.ID].peer.SetMembers(s.localTime(s.hosts[m.ID]), s.members)
 	}
 	for z := range zones {
 		for n := range nodesPerZone {
 			h := s.add(fmt.Sprintf("n%d-%03d", z, n), fmt.Sprintf("z%d", z), false, "m0", "m1")
-			s.at(time.Duration(s.rng.Intn(1000))*time.Millisecond, func() { s.start(h) })
+			s.schedule(time.Duration(s.rng.Intn(1000))*time.Millisecond, func() { s.start(h) })
 		}
 	}
 }
@@ -463,7 +463,7 @@
 var _ = Describe("Rollout", func() {
 	It("brings versions into force on all nodes and tables to equality", func() {
 		s := newSim(1)
-		mesh(s, 3, 40)
+		addMesh(s, 3, 40)
 		first := s.approve(s.stage(bundleOf(1, 20)))
 		s.run(time.Second)
 		took := s.await(15*time.Second, s.allInForce(first))
@@ -486,25 +486,25 @@
 	// Guards against a reconnect storm at the members after a zone loses power.
 	It("takes back 1,000 nodes of a zone with bounded joins at the members", func() {
 		s := newSim(2)
-		mesh(s, 3, 4)
+		addMesh(s, 3, 4)
 		version := s.approve(s.stage(bundleOf(1, 50)))
-		var herd []*host
+		var restarted []*host
 		for i := range 1000 {
-			herd = append(herd, s.add(fmt.Sprintf("h%04d", i), "z1", false, "m0", "m1", "m2"))
+			restarted = append(restarted, s.add(fmt.Sprintf("h%04d", i), "z1", false, "m0", "m1", "m2"))
 		}
 		s.run(10 * time.Second)
-		for _, h := range herd {
+		for _, h := range restarted {
 			s.start(h)
 		}
 		began := s.now
 		inForce := s.await(30*time.Second, s.allInForce(version))
 		tables := s.await(30*time.Second, s.sameTables)
-		perSecond, most, depth := make(map[time.Duration]int), 0, 0
+		perSecond, maxPerSecond, depth := make(map[time.Duration]int), 0, 0
 		for _, m := range s.members {
-			for _, at := range s.hosts[m.ID].joins {
+			for _, at := range s.hosts[m.ID].acceptedJoins {
 				if at >= began {
 					perSecond[at.Truncate(time.Second)]++
-					most = max(most, perSecond[at.Truncate(time.Second)])
+					maxPerSecond = max(maxPerSecond, perSecond[at.Truncate(time.Second)])
 				}
 			}
 		}
@@ -512,7 +512,7 @@
 			depth = max(depth, h.peer.Status().Depth)
 		}
 		GinkgoWriter.Println("in force after", inForce, "tables after further", tables, "joins/s at members", perSecond, "depth", depth, s.bytes)
-		Expect(most).To(BeNumerically("<=", 32)) // burst and one second of the rate
+		Expect(maxPerSecond).To(BeNumerically("<=", 32)) // burst and one second of the rate
 		Expect(inForce).To(BeNumerically("<=", 10*time.Second))
 		s.checkTree(0)
 	})
--- a/coordination/relay/sim_test.go
+++ b/coordination/relay/sim_test.go
@@ -44,15 +44,15 @@
 
 var errLinkLost = errors.New("link lost")
 
-// keys signs with a plain hash; the real keyring is not part of these tests.
-type keys struct{}
+// hashVerifier signs with a plain hash; the real keyring is not part of these tests.
+type hashVerifier struct{}
 
 func signature(a bundle.Approval) []byte {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%d %s %d", a.Version, a.Digest, a.Replaces))
 	return slices.Concat(sum[:], sum[:])
 }
 
-func (keys) Verify(a bundle.Approval) error {
+func (hashVerifier) Verify(a bundle.Approval) error {
 	if !bytes.Equal(a.Signature, signature(a)) {
 		return errors.New("bad signature")
 	}
@@ -82,68 +82,68 @@
 
 // host is one process, restarted under the same ID with empty memory.
 type host struct {
-	id, zone string
-	member   bool
-	join     []string
-	config   func(*relay.Config)
-	rate     float64 // of its clock
-	started  time.Duration
-	clock    time.Time // at the start of the process
-	alive    bool
-	peer     *relay.Peer
-	links    map[relay.LinkID]*conn
-	inbound  relay.LinkID
-	store    *bundle.Store
-	applied  int // history entries of a member
+	id, zone      string
+	member        bool
+	join          []string
+	config        func(*relay.Config)
+	clockRate     float64 // of its clock
+	started       time.Duration
+	clockAtStart  time.Time // at the start of the process
+	alive         bool
+	peer          *relay.Peer
+	links         map[relay.LinkID]*conn
+	inbound       relay.LinkID
+	store         *bundle.Store
+	appliedSource int // history entries of a member
 
 	inForce, highest uint64
-	reached          map[uint64]time.Duration // first activation of a version
-	lastHeld         map[uint64]time.Duration // last time a version was in force
-	joins            []time.Duration
+	firstInForce     map[uint64]time.Duration // first activation of a version
+	lastInForce      map[uint64]time.Duration // last time a version was in force
+	acceptedJoins    []time.Duration
 }
 
 // conn is one direction of a link: messages arrive in order or the link ends.
 type conn struct {
-	from, to *host
-	fromLife time.Duration
-	toLife   time.Duration
-	fromLink relay.LinkID
-	toLink   relay.LinkID
-	last     time.Duration
-	back     *conn
-	closed   bool
-	waiting  []func()
+	from, to    *host
+	fromStarted time.Duration
+	toStarted   time.Duration
+	fromLink    relay.LinkID
+	toLink      relay.LinkID
+	lastArrival time.Duration
+	reverse     *conn
+	closed      bool
+	undelivered []func()
 }
 
 // sim drives real peers over a message queue with virtual time.
 type sim struct {
-	rng      *rand.Rand
-	now      time.Duration
-	queue    eventQueue
-	count    int
-	hosts    map[string]*host
-	ids      []string
-	epoch    time.Time
-	loss     float64 // of a segment; each loss delays the link by a growing retransmission timeout
-	dup      float64
-	corrupt  float64 // of Parts messages
-	omit     float64 // of Endpoints messages
-	delay    func(a, b *host) time.Duration
-	blocked  func(a, b *host) bool
-	history  []relay.Approved
-	staged   []bundle.Update
-	detached map[string]bool // members without a quorum
-	bytes    map[string]int  // by message kind, with the prefix "zone:" for messages between zones
-	members  []relay.MemberInfo
-	onSend   func(from, to *host, m relay.Message)
-	onCrash  func(h *host, reports []relay.CrashReport)
+	rng           *rand.Rand
+	now           time.Duration
+	queue         eventQueue
+	scheduled     int
+	hosts         map[string]*host
+	ids           []string
+	epoch         time.Time
+	loss          float64 // of a segment; each loss delays the link by a growing retransmission timeout
+	duplicate     float64
+	corrupt       float64 // of Parts messages
+	omit          float64 // of Endpoints messages
+	delay         func(a, b *host) time.Duration
+	blocked       func(a, b *host) bool
+	history       []relay.Approved
+	staged        []bundle.Update
+	withoutQuorum map[string]bool // members without a quorum
+	bytes         map[string]int  // by message kind, with the prefix "zone:" for messages between zones
+	members       []relay.MemberInfo
+	onSend        func(from, to *host, m relay.Message)
+	onCrash       func(h *host, reports []relay.CrashReport)
 }
 
 func newSim(seed int64) *sim {
 	violations = nil
 	s := &sim{
 		rng: rand.New(rand.NewSource(seed)), hosts: make(map[string]*host), epoch: time.Unix(1_700_000_000, 0),
-		detached: make(map[string]bool), bytes: make(map[string]int),
+		withoutQuorum: make(map[string]bool), bytes: make(map[string]int),
 	}
 	s.blocked = func(a, b *host) bool { return false }
 	s.delay = func(a, b *host) time.Duration {
@@ -155,9 +155,9 @@
 	return s
 }
 
-func (s *sim) at(t time.Duration, run func()) {
-	s.count++
-	heap.Push(&s.queue, event{at: max(t, s.now), order: s.count, run: run})
+func (s *sim) schedule(t time.Duration, run func()) {
+	s.scheduled++
+	heap.Push(&s.queue, event{at: max(t, s.now), order: s.scheduled, run: run})
 }
 
 func (s *sim) run(until time.Duration) {
@@ -182,8 +182,8 @@
 
 func (s *sim) add(id, zone string, member bool, join ...string) *host {
 	h := &host{
-		id: id, zone: zone, member: member, join: join, rate: 1 + 0.008*(2*s.rng.Float64()-1), config: func(*relay.Config) {},
-		reached: make(map[uint64]time.Duration), lastHeld: make(map[uint64]time.Duration),
+		id: id, zone: zone, member: member, join: join, clockRate: 1 + 0.008*(2*s.rng.Float64()-1), config: func(*relay.Config) {},
+		firstInForce: make(map[uint64]time.Duration), lastInForce: make(map[uint64]time.Duration),
 	}
 	s.hosts[id] = h
 	s.ids = append(s.ids, id)
@@ -193,44 +193,44 @@
 	return h
 }
 
-func (s *sim) local(h *host) time.Time {
-	return h.clock.Add(time.Duration(float64(s.now-h.started) * h.rate))
+func (s *sim) localTime(h *host) time.Time {
+	return h.clockAtStart.Add(time.Duration(float64(s.now-h.started) * h.clockRate))
 }
 
 func (s *sim) start(h *host) {
-	h.alive, h.started, h.inForce, h.applied = true, s.now, 0, 0
-	h.clock = s.epoch.Add(time.Duration(s.rng.Intn(1000)) * time.Hour)
+	h.alive, h.started, h.inForce, h.appliedSource = true, s.now, 0, 0
+	h.clockAtStart = s.epoch.Add(time.Duration(s.rng.Intn(1000)) * time.Hour)
 	h.links, h.inbound, h.store = make(map[relay.LinkID]*conn), 0, bundle.NewStore()
 	c := relay.Config{
 		ID: h.id, Zone: h.zone, Address: h.id, Incarnation: uint64(s.now) + 1, Member: h.member, JoinAddresses: h.join,
-		Keys: keys{}, Rand: rand.New(rand.NewSource(s.rng.Int63())),
+		Keys: hashVerifier{}, Rand: rand.New(rand.NewSource(s.rng.Int63())),
 	}
 	h.config(&c)
-	h.peer = relay.New(s.local(h), c)
+	h.peer = relay.New(s.localTime(h), c)
 	if !h.member {
-		h.peer.Announce(s.local(h), endpoints.Record{State: endpoints.Serving, Service: "rank", Address: h.id, Slots: 10})
+		h.peer.Announce(s.localTime(h), endpoints.Record{State: endpoints.Serving, Service: "rank", Address: h.id, Slots: 10})
 	} else {
-		h.peer.SetMembers(s.local(h), s.members)
+		h.peer.SetMembers(s.localTime(h), s.members)
 	}
-	life := h.started
+	started := h.started
 	var tick func()
 	tick = func() {
-		if !h.alive || h.started != life {
+		if !h.alive || h.started != started {
 			return
 		}
 		if h.member {
-			s.feed(h)
+			s.updateSource(h)
 		}
-		h.peer.Tick(s.local(h))
-		s.collect(h)
-		s.at(s.now+50*time.Millisecond, tick)
+		h.peer.Tick(s.localTime(h))
+		s.handleOutputs(h)
+		s.schedule(s.now+50*time.Millisecond, tick)
 	}
-	s.at(s.now+time.Duration(s.rng.Intn(50))*time.Millisecond, tick)
+	s.schedule(s.now+time.Duration(s.rng.Intn(50))*time.Millisecond, tick)
 }
 
-// feed gives a member what its registry holds, unless it is cut off from the quorum.
-func (s *sim) feed(h *host) {
-	if s.detached[h.id] {
+// updateSource gives a member what its registry holds, unless it is cut off from the quorum.
+func (s *sim) updateSource(h *host) {
+	if s.withoutQuorum[h.id] {
 		return
 	}
 	if len(s.staged) > 0 {
@@ -243,16 +243,16 @@
 		if n := len(s.history); n > 0 {
 			source.Latest, source.Stopped = &s.history[n-1].Approval, s.history[n-1].Stopped
 		}
-		if key := len(s.history)<<20 + len(s.staged); key != h.applied {
-			h.applied = key
-			h.peer.SetSource(s.local(h), source, h.store)
+		if key := len(s.history)<<20 + len(s.staged); key != h.appliedSource {
+			h.appliedSource = key
+			h.peer.SetSource(s.localTime(h), source, h.store)
 		}
 	}
-	h.peer.SetConfirmed(s.local(h), 20*time.Millisecond)
+	h.peer.SetConfirmed(s.localTime(h), 20*time.Millisecond)
 }
 
-// sorted returns the links in a fixed order, so that every run draws the same random numbers.
-func (h *host) sorted() []*conn {
+// sortedLinks returns the links in a fixed order, so that every run draws the same random numbers.
+func (h *host) sortedLinks() []*conn {
 	var conns []*conn
 	for _, id := range slices.Sorted(maps.Keys(h.links)) {
 		conns = append(conns, h.links[id])
@@ -262,14 +262,14 @@
 
 func (s *sim) kill(h *host) {
 	h.alive = false
-	h.lastHeld[h.inForce] = s.now
+	h.lastInForce[h.inForce] = s.now
 	reset := s.rng.Intn(2) == 0 // Otherwise the other sides notice only the silence.
-	for _, c := range h.sorted() {
+	for _, c := range h.sortedLinks() {
 		c.closed = true
 		if reset {
 			s.breakLink(c)
 		} else {
-			c.back.closed = true
+			c.reverse.closed = true
 		}
 	}
 }
@@ -278,9 +278,9 @@
 func (s *sim) breakLink(c *conn) {
 	c.closed = true
 	s.deliver(c, func() {
-		c.back.closed = true
+		c.reverse.closed = true
 		delete(c.to.links, c.toLink)
-		c.to.peer.LinkDown(s.local(c.to), c.toLink, errLinkLost)
+		c.to.peer.LinkDown(s.localTime(c.to), c.toLink, errLinkLost)
 	})
 }
 
@@ -290,28 +290,28 @@
 	for timeout := 200 * time.Millisecond; s.rng.Float64() < s.loss; timeout *= 2 {
 		delay += timeout
 	}
-	c.last = max(s.now+delay, c.last)
-	c.waiting = append(c.waiting, action)
-	s.at(c.last, func() { s.arrive(c) })
+	c.lastArrival = max(s.now+delay, c.lastArrival)
+	c.undelivered = append(c.undelivered, action)
+	s.schedule(c.lastArrival, func() { s.arrive(c) })
 }
 
 // arrive hands on the oldest message of a link.
 func (s *sim) arrive(c *conn) {
-	if c.back.closed || !c.to.alive || c.to.started != c.toLife {
+	if c.reverse.closed || !c.to.alive || c.to.started != c.toStarted {
 		return
 	}
 	if s.blocked(c.from, c.to) {
-		c.last = max(c.last, s.now+200*time.Millisecond)
-		s.at(c.last, func() { s.arrive(c) })
+		c.lastArrival = max(c.lastArrival, s.now+200*time.Millisecond)
+		s.schedule(c.lastArrival, func() { s.arrive(c) })
 		return
 	}
-	action := c.waiting[0]
-	c.waiting = c.waiting[1:]
+	action := c.undelivered[0]
+	c.undelivered = c.undelivered[1:]
 	action()
-	s.collect(c.to)
+	s.handleOutputs(c.to)
 }
 
-func (s *sim) collect(h *host) {
+func (s *sim) handleOutputs(h *host) {
 	for _, output := range h.peer.Outputs() {
 		switch o := output.(type) {
 		case relay.Send:
@@ -340,15 +340,15 @@
 	_, manifest, err := bundle.Split(o.Bundle)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(manifest.Digest()).To(Equal(o.Approval.Digest), "%s applied another bundle than the approved one", h.id)
-	h.lastHeld[h.inForce] = s.now
+	h.lastInForce[h.inForce] = s.now
 	h.inForce, h.highest = o.Approval.Version, o.Approval.Version
-	if _, ok := h.reached[h.inForce]; !ok {
-		h.reached[h.inForce] = s.now
+	if _, ok := h.firstInForce[h.inForce]; !ok {
+		h.firstInForce[h.inForce] = s.now
 	}
-	h.peer.Activated(s.local(h), o.Approval.Version)
+	h.peer.Activated(s.localTime(h), o.Approval.Version)
 }
 
-func kind(m relay.Message) string {
+func messageKind(m relay.Message) string {
 	switch {
 	case m.Parts != nil:
 		return "parts"
@@ -363,7 +363,7 @@
 	}
 }
 
-func size(m any) int {
+func encodedSize(m any) int {
 	data, err := cbor.Marshal(m)
 	Expect(err).NotTo(HaveOccurred())
 	return len(data)
@@ -372,21 +372,21 @@
 func (s *sim) send(c *conn, m relay.Message) {
 	data, err := cbor.Marshal(m)
 	Expect(err).NotTo(HaveOccurred())
-	s.bytes[kind(m)] += len(data)
+	s.bytes[messageKind(m)] += len(data)
 	if c.from.zone != c.to.zone {
-		s.bytes["zone:"+kind(m)] += len(data)
+		s.bytes["zone:"+messageKind(m)] += len(data)
 	}
 	if s.onSend != nil {
 		s.onSend(c.from, c.to, m)
 	}
 	if m.Accept != nil {
-		c.from.joins = append(c.from.joins, s.now)
+		c.from.acceptedJoins = append(c.from.acceptedJoins, s.now)
 	}
 	if m.Parts != nil && s.rng.Float64() < s.corrupt {
 		data[len(data)-1-s.rng.Intn(len(m.Parts.Data))] ^= 1 << s.rng.Intn(8)
 	}
 	copies := 1
-	if s.rng.Float64() < s.dup {
+	if s.rng.Float64() < s.duplicate {
 		copies = 2
 	}
 	if m.Endpoints != nil && s.rng.Float64() < s.omit {
@@ -396,7 +396,7 @@
 		s.deliver(c, func() {
 			var received relay.Message
 			Expect(cbor.Unmarshal(data, &received)).To(Succeed())
-			c.to.peer.Step(s.local(c.to), c.toLink, received)
+			c.to.peer.Step(s.localTime(c.to), c.toLink, received)
 		})
 	}
 }
@@ -405,22 +405,22 @@
 	target, ok := s.hosts[o.Address]
 	life := h.started
 	current := func() bool { return h.alive && h.started == life }
-	s.at(s.now+2*s.delay(h, h), func() {
+	s.schedule(s.now+2*s.delay(h, h), func() {
 		switch {
 		case !current() || ok && s.blocked(h, target):
 			return
 		case !ok || !target.alive:
-			h.peer.LinkDown(s.local(h), o.Link, errLinkLost)
-			s.collect(h)
+			h.peer.LinkDown(s.localTime(h), o.Link, errLinkLost)
+			s.handleOutputs(h)
 			return
 		}
 		target.inbound++
-		out := &conn{from: h, to: target, fromLife: life, toLife: target.started, fromLink: o.Link, toLink: target.inbound}
-		in := &conn{from: target, to: h, fromLife: target.started, toLife: life, fromLink: target.inbound, toLink: o.Link}
-		out.back, in.back = in, out
+		out := &conn{from: h, to: target, fromStarted: life, toStarted: target.started, fromLink: o.Link, toLink: target.inbound}
+		in := &conn{from: target, to: h, fromStarted: target.started, toStarted: life, fromLink: target.inbound, toLink: o.Link}
+		out.reverse, in.reverse = in, out
 		h.links[o.Link], target.links[target.inbound] = out, in
-		s.deliver(out, func() { target.peer.LinkUp(s.local(target), out.toLink, h.peer.Hello(), false) })
-		s.deliver(in, func() { h.peer.LinkUp(s.local(h), o.Link, target.peer.Hello(), true) })
+		s.deliver(out, func() { target.peer.LinkUp(s.localTime(target), out.toLink, h.peer.Hello(), false) })
+		s.deliver(in, func() { h.peer.LinkUp(s.localTime(h), o.Link, target.peer.Hello(), true) })
 	})
 }
 
@@ -522,19 +522,19 @@
 	for _, m := range s.members {
 		if h := s.hosts[m.ID]; h.alive {
 			for _, v := range h.peer.Status().Total.Versions {
-				Expect(v.Nodes).To(BeNumerically("<=", s.heldLately(v.Version, hold)),
+				Expect(v.Nodes).To(BeNumerically("<=", s.recentlyInForce(v.Version, hold)),
 					"%s counts version %d at %v", m.ID, v.Version, s.now)
 			}
 		}
 	}
 }
 
-// heldLately counts the nodes that have a version in force, or had it within a time.
-func (s *sim) heldLately(version uint64, within time.Duration) int {
+// recentlyInForce counts the nodes that have a version in force, or had it within a time.
+func (s *sim) recentlyInForce(version uint64, within time.Duration) int {
 	count := 0
 	for _, id := range s.ids {
 		h := s.hosts[id]
-		last, held := h.lastHeld[version]
+		last, held := h.lastInForce[version]
 		if !h.member && (h.alive && h.inForce == version || held && s.now-last <= within) {
 			count++
 		}
