--- a/coordination/relay/config.go
+++ b/coordination/relay/config.go
@@ -1,6 +1,12 @@
-// Package relay distributes configuration, endpoint records and crash reports among nodes and control members. The
-// same Peer runs in both; a member is a source. A Peer is a state machine: time and messages go in, outputs come out.
-// It uses no I/O, no clock, no goroutine and no global randomness, and one goroutine drives it.
+// Package relay distributes configuration bundles, endpoint records and crash reports among nodes and control members.
+//
+// The peers form a tree. The control members are its roots and are linked with each other; each node follows one parent,
+// a member or another node. Approvals, bundles and the list of members go from parents to children, counts of nodes go
+// from children to parents, and endpoint records and crash reports go in both directions. A node polls its parent, which
+// shows the parent that the node is alive and tells the node how recently a quorum confirmed the latest version.
+//
+// The same Peer runs in nodes and members. It is a state machine: the caller passes in the time and messages and carries
+// out the outputs. It uses no I/O, clock, goroutine or global randomness, and must be driven by one goroutine.
 package relay
 
 import (
@@ -17,46 +23,49 @@
 	Verify(a bundle.Approval) error
 }
 
-// Config sets up a Peer.
+// Config configures a Peer. Fields that are 0 take their defaults.
 type Config struct {
 	ID      string
 	Zone    string
 	Address string
-	// Incarnation grows with every start of the process. It is never 0.
+	// Incarnation is greater after every start of the process. It is never 0.
 	Incarnation uint64
 	// Member is set in control members.
 	Member bool
-	// JoinAddresses lists addresses of nodes and members that are tried when nothing else is known.
+	// JoinAddresses lists addresses of nodes and members that a node may join. They are tried after the nodes and members
+	// of its zone that it knows.
 	JoinAddresses []string
 	Keys          Verifier
 	// Validate checks an assembled bundle before it is activated. Nil accepts every bundle.
 	Validate func(*bundle.Bundle) error
 	Rand     *rand.Rand
-	// FanOut bounds the children of a node.
+	// FanOut bounds the number of children of a node.
 	FanOut int
-	// ZoneFollowers bounds the direct followers of a member in its own zone.
+	// ZoneFollowers bounds the number of children of a member that are in its own zone.
 	ZoneFollowers int
-	// RemoteFollowers bounds the direct followers of a member in each other zone. Each costs one copy of the content on
-	// a zone link, so one follower serves the others of its zone.
+	// RemoteFollowers bounds the number of children of a member in each other zone. Each of them costs one copy of the
+	// content on a link between zones, so one such child serves the other nodes of its zone.
 	RemoteFollowers int
-	// JoinsPerSecond and JoinBurst bound the joins that a member accepts.
+	// JoinsPerSecond and JoinBurst bound the rate of joins that a member accepts.
 	JoinsPerSecond float64
 	JoinBurst      int
-	// JoinJitter spreads the first joins after a start, and joins at a member after the loss of a parent.
+	// JoinJitter bounds the random delay of the first join after a start, and of joins at a member after the loss of a
+	// parent.
 	JoinJitter time.Duration
-	// PollInterval is the time between polls of the parent.
+	// PollInterval is the mean time between two polls of the parent.
 	PollInterval time.Duration
-	// StaleAfter is the confirmed age at which a child of a member looks for another parent. It must be longer than
-	// PollInterval and the time in which a quorum confirms the member's state.
+	// StaleAfter is the age of the last confirmation at which a child of a member looks for another parent. It must be
+	// longer than PollInterval and the time in which a quorum confirms the member's state.
 	StaleAfter time.Duration
-	// MaxProbeInterval bounds the pause between two rounds in which a node with a stale parent looks for another one.
+	// MaxProbeInterval bounds the mean time between two rounds in which a node with a stale parent looks for another one.
 	MaxProbeInterval time.Duration
-	// HomeProbeInterval is the mean time between two attempts of a node that follows another zone to return to its own.
+	// HomeProbeInterval bounds the mean time between two attempts of a node whose parent is in another zone to find a
+	// parent in its own zone.
 	HomeProbeInterval time.Duration
-	// PreferMembers makes nodes follow members as long as those have room, rather than each other. It suits deployments
-	// that are small enough for the members to serve all nodes: no node then depends on another one.
+	// PreferMembers makes nodes follow members rather than each other as long as the members accept children. It suits
+	// deployments that are small enough for the members to serve all nodes: no node then depends on another one.
 	PreferMembers bool
-	// MaxRecords bounds the endpoint table.
+	// MaxRecords bounds the number of records of the endpoint table.
 	MaxRecords int
 }
 
@@ -67,19 +76,21 @@
 	DefaultRemoteFollowers = 1
 	DefaultJoinsPerSecond  = 16
 	DefaultJoinBurst       = 16
-	// DefaultJoinJitter spreads a herd of 16,000 nodes so that its joins cost the members no more than they can serve.
+	// DefaultJoinJitter spreads the joins of 16,000 nodes that start at once so far that the members can serve them.
 	DefaultJoinJitter = 2 * time.Second
-	// DefaultPollInterval keeps the polls of 16,000 nodes within their 5 KB/s.
+	// DefaultPollInterval keeps the polls of 16,000 nodes within their limit of 5 KB/s.
 	DefaultPollInterval = endpoints.PollInterval
-	// DefaultMaxProbeInterval keeps an outage of the quorum, in which no parent can help, from being filled with probes.
+	// DefaultMaxProbeInterval keeps probes rare while there is no quorum: no other parent has a newer confirmation then.
 	DefaultMaxProbeInterval = time.Minute
-	// DefaultHomeProbeInterval keeps a zone that lost its members from being asked by all its nodes at once.
+	// DefaultHomeProbeInterval keeps the nodes of a zone that lost its members from all probing the zone at once.
 	DefaultHomeProbeInterval = 30 * time.Second
-	// DefaultStaleAfter is a few polls, so that one lost poll moves no node.
+	// DefaultStaleAfter is a few polls, so that one lost poll makes no node change its parent.
 	DefaultStaleAfter = 4 * time.Second
 )
 
-// Order is a peer's place in the tree: a node follows members and nodes of lower order only.
+// Order is a peer's position in the total order of all peers. A node only follows peers of lower order, so the links
+// between parents and children form no cycle. Members are of lower order than nodes; otherwise the lower incarnation,
+// then the lower ID decides.
 type Order struct {
 	Member      bool
 	Incarnation uint64
@@ -94,7 +105,7 @@
 	return cmp.Or(cmp.Compare(o.Incarnation, other.Incarnation), cmp.Compare(o.ID, other.ID)) < 0
 }
 
-// Source is the state of the registry of a member.
+// Source is a member's view of the registry.
 type Source struct {
 	// Latest is the latest approval; nil before the first.
 	Latest *bundle.Approval
@@ -104,18 +115,18 @@
 	Bundles []bundle.Digest
 }
 
-// CrashReport tells about a crash of an upstream. The triple of upstream, incarnation and sequence identifies it.
+// CrashReport describes a crash of an upstream. Upstream, Incarnation and Sequence together identify it.
 type CrashReport struct {
 	Upstream    string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Sequence    uint64 `cbor:"3,keyasint"`
 	// Payload is opaque to this package.
 	Payload []byte `cbor:"4,keyasint,omitempty"`
-	// AgeMs is the time since the crash; every hop adds the time it kept the report.
+	// AgeMs is the time since the crash. Every peer adds the time for which it kept the report before sending it.
 	AgeMs int64 `cbor:"6,keyasint,omitempty"`
 }
 
-// MemberInfo names a control member.
+// MemberInfo describes a control member.
 type MemberInfo struct {
 	ID      string `cbor:"1,keyasint"`
 	Zone    string `cbor:"2,keyasint"`
--- a/coordination/relay/join.go
+++ b/coordination/relay/join.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// tokenBucket bounds a rate.
+// tokenBucket limits the rate of events to rate, and to burst at once.
 type tokenBucket struct {
 	rate      float64 // per second
 	burst     float64
@@ -16,6 +16,7 @@
 	return tokenBucket{rate: rate, burst: float64(burst), tokens: float64(burst), updatedAt: now}
 }
 
+// take takes a token; false if there is none.
 func (b *tokenBucket) take(now time.Time) bool {
 	b.tokens = min(b.burst, b.tokens+now.Sub(b.updatedAt).Seconds()*b.rate)
 	b.updatedAt = now
@@ -26,19 +27,19 @@
 	return true
 }
 
-// Pauses that a refused joiner is told to make.
+// The delay in a RetryAfter is minRetryDelay plus up to retryDelayJitter at random.
 const (
 	minRetryDelay    = 300 * time.Millisecond
 	retryDelayJitter = 700 * time.Millisecond
 )
 
-// handleJoin decides about a join: accept, redirect to a peer with room, or refuse for a time.
+// handleJoin decides about a Join: the joiner is accepted, redirected to other peers, or told to try again later.
 func (p *Peer) handleJoin(l *link, join Join) {
 	if !p.replaceOldLink(l) {
 		p.closeLink(l)
 		return
 	}
-	if addresses, elsewhere := p.redirectAddresses(l, join); elsewhere {
+	if addresses, redirect := p.redirectAddresses(l, join); redirect {
 		p.redirectJoin(l, addresses)
 		return
 	}
@@ -61,7 +62,8 @@
 	}
 }
 
-// replaceOldLink ends an older link of the same child. It returns false if the new one belongs to an older process.
+// replaceOldLink closes an older link to the same child. It returns false if the new link belongs to an older
+// incarnation of the child than the link that exists.
 func (p *Peer) replaceOldLink(l *link) bool {
 	for _, other := range p.children() {
 		if other.remote.ID != l.remote.ID {
@@ -75,7 +77,9 @@
 	return true
 }
 
-// redirectAddresses returns where a joiner should go that must not or should not follow this peer.
+// redirectAddresses reports whether the joiner has to follow another peer, and returns addresses that it may try. This
+// is so for members, for joiners of lower order than this peer, and for joiners of another zone if peers of that zone,
+// or members for a node to name, are known.
 func (p *Peer) redirectAddresses(l *link, join Join) ([]string, bool) {
 	if l.remote.Member || !p.order.Before(l.remote.Order()) {
 		return p.addressesAbove(l.remote.Zone), true
@@ -94,7 +98,7 @@
 	return addresses, len(addresses) > 0
 }
 
-// addressesAbove returns where a joiner of lower order than this peer can go.
+// addressesAbove returns the addresses that a joiner of lower order than this peer should try: the parent and members.
 func (p *Peer) addressesAbove(zone string) []string {
 	addresses := p.memberAddresses(zone)
 	if p.parent != nil {
@@ -103,7 +107,8 @@
 	return addresses
 }
 
-// memberAddresses returns the members of a zone, or all other members if the zone has none.
+// memberAddresses returns the addresses of the members of a zone. If there are none, a node returns those of all
+// members and a member none.
 func (p *Peer) memberAddresses(zone string) []string {
 	var home, all []string
 	for _, m := range p.members {
@@ -121,7 +126,7 @@
 	return all
 }
 
-// nodeAddresses returns a few nodes in a joiner's zone that are of lower order than the joiner.
+// nodeAddresses returns the addresses of a few nodes of the joiner's zone that are of lower order than the joiner.
 func (p *Peer) nodeAddresses(joiner Hello) []string {
 	var addresses []string
 	for _, r := range p.propagation.table.InZone(joiner.Zone) {
@@ -134,7 +139,8 @@
 	return addresses[:min(len(addresses), maxRedirectTargets)]
 }
 
-// siblings returns the children that share a bound with joiners of a zone, and the bound.
+// siblings returns the children that a joiner of a zone is counted with, and the limit of their number. A node has one
+// limit for all children, a member one for each zone.
 func (p *Peer) siblings(zone string) ([]*link, int) {
 	if !p.config.Member {
 		return p.children(), p.config.FanOut
@@ -151,8 +157,10 @@
 	return group, p.config.RemoteFollowers
 }
 
+// takeJoinToken reports whether a joiner may be accepted now. Only members limit the rate of joins.
 func (p *Peer) takeJoinToken() bool { return !p.config.Member || p.joinLimiter.take(p.now) }
 
+// lowerThan returns the links to peers of lower order than the given one.
 func lowerThan(group []*link, order Order) []*link {
 	var lower []*link
 	for _, child := range group {
@@ -163,6 +171,7 @@
 	return lower
 }
 
+// randomAddresses returns the addresses of a few of the linked peers.
 func (p *Peer) randomAddresses(links []*link) []string {
 	addresses := make([]string, 0, len(links))
 	for _, l := range links {
@@ -195,8 +204,9 @@
 	p.closeLink(l)
 }
 
-// evictChild makes room for a joiner that is of lower order than all children: the child of highest order is sent to the
-// joiner and its siblings. Each eviction lowers the order of the children, so evictions come to an end.
+// evictChild makes room for a joiner that is of lower order than all children in the group. The child of highest order
+// is redirected to the joiner and its siblings. Since each eviction lowers the order of the children, evictions do not
+// go on for ever.
 func (p *Peer) evictChild(group []*link, joiner *link) {
 	last := group[0]
 	for _, child := range group[1:] {
--- a/coordination/relay/link.go
+++ b/coordination/relay/link.go
@@ -11,19 +11,21 @@
 type role uint8
 
 const (
-	// roleDialing is an outbound link that is not open yet.
+	// roleDialing is an outbound link that is being opened.
 	roleDialing role = iota
-	// rolePending is an inbound link before Join.
+	// rolePending is an inbound link on which no Join has been accepted yet.
 	rolePending
-	// roleCandidate is an outbound link after Join, before the answer.
+	// roleCandidate is an outbound link on which a Join was sent and not answered yet.
 	roleCandidate
+	// roleParent is the link to the parent.
 	roleParent
+	// roleChild is the link to a child.
 	roleChild
 	// roleMember is a link between two control members.
 	roleMember
 )
 
-// link is one open or opening link.
+// link is the state of one link to another peer.
 type link struct {
 	id           LinkID
 	role         role
@@ -33,13 +35,13 @@
 	openedAt     time.Time
 	lastReceived time.Time
 
-	// Of the side that polls.
+	// Fields of the side that polls: a child, or the member that dialed the other one.
 	nextPoll time.Time
 	sequence uint64
 	pollSent [8]time.Time // send times of the last polls, by sequence modulo 8
 	anyZone  bool
 
-	// Of the side that is polled.
+	// Fields of the side that is polled. synced is set by the first poll; before it, no changes are sent.
 	synced           bool
 	joinRecords      int // size of the other side's table when it joined
 	remoteBundles    []bundle.Digest
@@ -47,12 +49,12 @@
 	digestMismatches int
 	comparedAt       time.Time
 
-	sentCounts Aggregate
+	sentCounts Aggregate // counts that were last sent on this link
 }
 
 func (l *link) compareID(id LinkID) int { return cmp.Compare(l.id, id) }
 
-// LinkUp reports that a link is open and names the other side.
+// LinkUp tells the peer that a link is open and who the other side is.
 func (p *Peer) LinkUp(now time.Time, id LinkID, remote Hello, outbound bool) {
 	p.advance(now)
 	if outbound {
@@ -65,7 +67,7 @@
 func (p *Peer) outboundUp(id LinkID, remote Hello) {
 	l, ok := p.links[id]
 	if !ok {
-		p.emit(Close{Link: id}) // The attempt was given up while the dial was in progress.
+		p.emit(Close{Link: id}) // The attempt timed out while the dial was in progress.
 		return
 	}
 	l.remote, l.openedAt, l.lastReceived = remote, p.now, p.now
@@ -84,7 +86,7 @@
 	}
 }
 
-// LinkDown reports that a link has ended, or that a dial failed.
+// LinkDown tells the peer that a link was closed or lost, or that a dial failed.
 func (p *Peer) LinkDown(now time.Time, id LinkID, _ error) {
 	p.advance(now)
 	if l, ok := p.links[id]; ok {
@@ -92,13 +94,13 @@
 	}
 }
 
-// dropLink closes a link and lets the state that depends on it go.
+// dropLink closes a link and handles its end.
 func (p *Peer) dropLink(l *link) {
 	p.emit(Close{Link: l.id})
 	p.handleLinkEnd(l)
 }
 
-// handleLinkEnd removes a link that is closed.
+// handleLinkEnd removes a closed link and the state that depends on it, according to the link's role.
 func (p *Peer) handleLinkEnd(l *link) {
 	p.removeLink(l)
 	switch l.role {
@@ -114,7 +116,7 @@
 	}
 }
 
-// checkLinks gives up the links that are silent for too long.
+// checkLinks drops open links without messages for linkTimeout, and attempts to join that take longer than joinTimeout.
 func (p *Peer) checkLinks() {
 	for _, l := range p.linksOf(rolePending, roleParent, roleChild, roleMember) {
 		if p.now.Sub(l.lastReceived) >= linkTimeout {
@@ -128,7 +130,7 @@
 	}
 }
 
-// Step handles a message.
+// Step handles a message that arrived on a link.
 func (p *Peer) Step(now time.Time, id LinkID, m Message) {
 	p.advance(now)
 	l, ok := p.links[id]
@@ -148,12 +150,14 @@
 	}
 }
 
+// stepPending handles a message on an inbound link before its Join is accepted.
 func (p *Peer) stepPending(l *link, m Message) {
 	if m.Join != nil {
 		p.handleJoin(l, *m.Join)
 	}
 }
 
+// stepCandidate handles the reply to a Join.
 func (p *Peer) stepCandidate(l *link, m Message) {
 	switch {
 	case m.Accept != nil:
@@ -165,6 +169,7 @@
 	}
 }
 
+// stepParent handles a message from the parent.
 func (p *Peer) stepParent(l *link, m Message) {
 	switch {
 	case m.PollReply != nil:
@@ -182,12 +187,13 @@
 	}
 }
 
+// stepPolled handles a message from a child or another member.
 func (p *Peer) stepPolled(l *link, m Message) {
 	switch {
 	case m.Poll != nil:
 		p.handlePoll(l, *m.Poll)
 	case m.PollReply != nil:
-		// Between members the reply only shows that the other side is alive.
+		// Only members get here: among them the reply only shows that the other side is alive.
 	case m.Aggregate != nil:
 		p.setCounts(l, *m.Aggregate)
 	case m.Fetch != nil && l.role == roleChild:
@@ -199,6 +205,7 @@
 	}
 }
 
+// stepCommon handles the messages that parents, children and members all send.
 func (p *Peer) stepCommon(l *link, m Message) {
 	switch {
 	case m.Endpoints != nil:
--- a/coordination/relay/members.go
+++ b/coordination/relay/members.go
@@ -7,13 +7,14 @@
 	"sapphiregate.example/sapphiregate/coordination/endpoints"
 )
 
-// memberRedialInterval is the mean time between two dials of one member.
+// memberRedialInterval is the mean time between two dials of the same member.
 const memberRedialInterval = time.Second
 
-// fullScanEvery is the number of searches for orphaned records of which one covers all records. The others only run in
-// members, and only while a parent is known to be lost: a search costs about 1 ms at 16,000 records.
+// Every fullScanEvery-th orphan scan runs in all peers. The others run only in members, and only while a parent is known
+// to be lost, since a scan costs about 1 ms at 16,000 records.
 const fullScanEvery = 10
 
+// setMembers updates the links of a member to the other members.
 func (p *Peer) setMembers(members []MemberInfo) {
 	p.learnMembers(members)
 	known := make(map[string]bool, len(members))
@@ -36,7 +37,7 @@
 	}
 }
 
-// learnMembers takes over the list of members and passes it down if it changed.
+// learnMembers stores the list of members and sends it to the children if it changed.
 func (p *Peer) learnMembers(members []MemberInfo) {
 	if len(members) == 0 || len(members) > maxMembers || slices.Equal(members, p.members) {
 		return
@@ -44,7 +45,7 @@
 	knewHome := p.knowsHomeMember()
 	p.members = slices.Clone(members)
 	if !knewHome && p.knowsHomeMember() {
-		// The whole content follows soon after the first list; it should not come from another zone.
+		// The first whole bundle usually follows soon after the first list; it should not cross a link between zones.
 		p.scheduleHomeProbe()
 	}
 	for _, child := range p.children() {
@@ -56,6 +57,7 @@
 	return slices.ContainsFunc(p.members, func(m MemberInfo) bool { return m.Zone == p.config.Zone })
 }
 
+// memberLink returns the link to a member; nil if there is none.
 func (p *Peer) memberLink(id string) *link {
 	for _, l := range p.linksOf(roleMember) {
 		if l.remote.ID == id {
@@ -65,7 +67,7 @@
 	return nil
 }
 
-// dialMembers opens links to the members with a smaller ID.
+// dialMembers dials the members with a smaller ID to which there is no link.
 func (p *Peer) dialMembers() {
 	for _, m := range p.members {
 		if m.ID >= p.config.ID || p.memberLink(m.ID) != nil || p.now.Before(p.nextRedial[m.ID]) {
@@ -87,7 +89,7 @@
 	return false
 }
 
-// memberUp opens a link between two members. A newer link of one member replaces the older one.
+// memberUp handles a new link between two members. It replaces an older link to the same member.
 func (p *Peer) memberUp(l *link) {
 	if !l.remote.Member || l.remote.ID == p.config.ID {
 		p.closeLink(l)
@@ -112,9 +114,10 @@
 	p.counts.changed = true
 }
 
-// suspectOrphans publishes the nodes that have lost their watcher. It covers the failure of a whole rack or zone, where
-// parents and children fail together, and the restart of a parent, which forgets whom it watched. Every peer looks for
-// former children of its own; the members look for the children of all others.
+// suspectOrphans publishes nodes as suspect whose parent is lost and that have not announced another one. No parent
+// notices the failure of such nodes. This covers the failure of a whole rack or zone, where parents and children fail
+// together, and the restart of a parent, which forgets its former children. Every peer looks for children that it had
+// before its restart; the members look for the children of all other peers.
 func (p *Peer) suspectOrphans() {
 	s := &p.propagation
 	if p.now.Before(s.nextOrphanScan) {
@@ -126,18 +129,20 @@
 	if !full && (!p.config.Member || s.table.ExpiringCount() == 0 && len(p.unlinkedSince) == 0) {
 		return
 	}
-	following := make(map[string]bool)
+	isChild := make(map[string]bool)
 	for _, child := range p.children() {
-		following[child.remote.ID] = true
+		isChild[child.remote.ID] = true
 	}
 	orphans := s.table.Select(func(r endpoints.Record, updated time.Time) bool {
-		return !r.Expiring() && r.Parent != "" && !following[r.ID] && p.isOrphaned(r, updated)
+		return !r.Expiring() && r.Parent != "" && !isChild[r.ID] && p.isOrphaned(r, updated)
 	})
 	for _, r := range orphans {
 		p.suspect(r.ID)
 	}
 }
 
+// isOrphaned reports whether the parent of a node, which is not a child of this peer, has been lost for so long that
+// the node would have announced another parent if it were alive.
 func (p *Peer) isOrphaned(r endpoints.Record, updated time.Time) bool {
 	if r.Parent == p.config.ID {
 		return p.now.Sub(updated) >= memberLossTimeout && p.now.Sub(p.started) >= memberLossTimeout
--- a/coordination/relay/message.go
+++ b/coordination/relay/message.go
@@ -14,10 +14,10 @@
 	Member      bool   `cbor:"5,keyasint,omitempty"`
 }
 
-// Order returns the peer's place in the tree.
+// Order returns the peer's position in the order of peers.
 func (h Hello) Order() Order { return Order{Member: h.Member, Incarnation: h.Incarnation, ID: h.ID} }
 
-// Message is what two peers exchange on a link. One field is set.
+// Message is one message on a link. Exactly one field is set.
 type Message struct {
 	Join       *Join       `cbor:"1,keyasint,omitempty"`
 	Accept     *Accept     `cbor:"2,keyasint,omitempty"`
@@ -36,18 +36,18 @@
 	Leave      *Leave      `cbor:"15,keyasint,omitempty"`
 }
 
-// Join asks the other side to become the sender's parent.
+// Join asks the receiver to become the sender's parent.
 type Join struct {
 	// AnyZone is set when the sender found no usable parent in its own zone.
 	AnyZone bool `cbor:"1,keyasint,omitempty"`
-	// Bundles lists the bundles that the sender holds completely.
+	// Bundles lists the bundles of which the sender has all parts.
 	Bundles []bundle.Digest `cbor:"2,keyasint,omitempty"`
-	// Records is the size of the sender's endpoint table, TableDigest its digest.
+	// Records is the number of records in the sender's endpoint table, TableDigest the table's digest.
 	Records     int    `cbor:"3,keyasint,omitempty"`
 	TableDigest uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Accept makes the sender the parent.
+// Accept replies to a Join: the sender is the receiver's parent from now on.
 type Accept struct {
 	Freshness Freshness `cbor:"1,keyasint"`
 	// Approved is the latest approval that the parent knows.
@@ -56,26 +56,26 @@
 	Members []MemberInfo `cbor:"3,keyasint,omitempty"`
 }
 
-// Redirect names peers that may have room for the receiver. On an established link it ends the link.
+// Redirect lists peers that the receiver should try to join instead. On the link to a child it ends the link.
 type Redirect struct {
 	Addresses []string `cbor:"1,keyasint,omitempty"`
 }
 
-// RetryAfter refuses a join for a time.
+// RetryAfter refuses a Join and tells the receiver when to try again.
 type RetryAfter struct {
 	DelayMs int64 `cbor:"1,keyasint"`
 }
 
-// Leave tells the parent that the sender follows another one from now on.
+// Leave tells the parent that the sender has another parent from now on.
 type Leave struct{}
 
 // Freshness says that at some time within the last AgeMs, Version was the latest approved version.
 type Freshness struct {
-	// Confirmed is false if the sender was never told by a quorum.
+	// Confirmed is false if the sender has not received any confirmation by a quorum.
 	Confirmed bool   `cbor:"1,keyasint,omitempty"`
 	Version   uint64 `cbor:"2,keyasint,omitempty"`
 	AgeMs     int64  `cbor:"3,keyasint,omitempty"`
-	// Depth is the number of links between the sender and its member.
+	// Depth is the number of links between the sender and the member at the root of its tree.
 	Depth int `cbor:"4,keyasint,omitempty"`
 }
 
@@ -83,26 +83,26 @@
 type Poll struct {
 	Sequence    uint64 `cbor:"1,keyasint"`
 	TableDigest uint64 `cbor:"2,keyasint,omitempty"`
-	// Counts is set when the subtree's counts changed since they were last sent on this link.
+	// Counts is set when the counts of the sender's subtree have changed since they were last sent on this link.
 	Counts *Aggregate `cbor:"3,keyasint,omitempty"`
 }
 
-// PollReply answers one poll.
+// PollReply replies to the poll with the same sequence number.
 type PollReply struct {
 	Sequence  uint64    `cbor:"1,keyasint"`
 	Freshness Freshness `cbor:"2,keyasint"`
 }
 
-// Aggregate describes the nodes of a subtree, with the sender if it is a node.
+// Aggregate counts the nodes of a subtree, including the sender if it is a node.
 type Aggregate struct {
 	Nodes int `cbor:"1,keyasint,omitempty"`
 	// Versions counts the nodes by version in force, for the four newest versions.
 	Versions []VersionCount `cbor:"2,keyasint,omitempty"`
 	// Lowest is the lowest version in force; 0 if a node has none.
 	Lowest uint64 `cbor:"3,keyasint,omitempty"`
-	// Lagging names up to eight nodes that do not have the approved version in force.
+	// Lagging lists up to eight nodes that do not have the approved version in force.
 	Lagging []Lag `cbor:"4,keyasint,omitempty"`
-	// Zones splits the counts by zone. Only members send it, to other members.
+	// Zones holds the counts of each zone. Only members send it, to other members.
 	Zones []ZoneCounts `cbor:"5,keyasint,omitempty"`
 }
 
@@ -112,7 +112,7 @@
 	Nodes   int    `cbor:"2,keyasint"`
 }
 
-// Lag tells why a node does not have the approved version in force.
+// Lag says why a node does not have the approved version in force.
 type Lag struct {
 	ID      string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint,omitempty"`
@@ -125,24 +125,26 @@
 	Stopped  bool            `cbor:"2,keyasint,omitempty"`
 }
 
-// Parts carries a bundle.Update, encoded in CBOR and compressed by zstd.
+// Parts carries a bundle.Update in Data, encoded in CBOR and compressed by zstd.
 type Parts struct {
 	Base   bundle.Digest `cbor:"1,keyasint"`
 	Target bundle.Digest `cbor:"2,keyasint"`
 	Data   []byte        `cbor:"3,keyasint"`
 }
 
-// Fetch asks the parent for a bundle, as a difference from one of those that the sender has if that is smaller.
+// Fetch asks the parent for a bundle. The parent sends it whole or as a difference from one of the bundles in Have,
+// whichever is smaller.
 type Fetch struct {
 	Target bundle.Digest   `cbor:"1,keyasint"`
 	Have   []bundle.Digest `cbor:"2,keyasint,omitempty"`
 }
 
-// Endpoints carries endpoint records. Large sets are encoded in CBOR and compressed by zstd in Packed.
+// Endpoints carries endpoint records. Large sets are encoded in CBOR and compressed by zstd in Compressed.
 type Endpoints struct {
 	Records    []endpoints.Record `cbor:"1,keyasint,omitempty"`
 	Compressed []byte             `cbor:"2,keyasint,omitempty"`
-	// Buckets lists the buckets that the records are the whole content of. The receiver answers with its newer records.
+	// Buckets lists the buckets of the sender's table whose whole content this message carries. The receiver replies with
+	// the records of these buckets that are newer in its own table.
 	Buckets []uint8 `cbor:"3,keyasint,omitempty"`
 }
 
@@ -156,7 +158,7 @@
 	Reports []CrashReport `cbor:"1,keyasint"`
 }
 
-// Members carries the control members, from the members down the tree.
+// Members carries the list of control members from the members down the tree.
 type Members struct {
 	Members []MemberInfo `cbor:"1,keyasint"`
 }
--- a/coordination/relay/parent_search.go
+++ b/coordination/relay/parent_search.go
@@ -11,33 +11,40 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// joinTarget is an address that may become the parent.
+// joinTarget is the address of a peer that the node may ask to become its parent.
 type joinTarget struct {
 	address string
-	// anyZone asks the other side to accept a node of another zone.
+	// anyZone is sent in Join: it asks the other side to accept a node of another zone.
 	anyZone bool
-	// maxDelay is the bound of the random pause before the attempt.
+	// maxDelay bounds the random delay before the attempt.
 	maxDelay time.Duration
 }
 
-// parentSearch is the state of a node's search for a parent.
+// parentSearch is the state of a node's search for a parent. A search consists of rounds; in a round the node tries a
+// list of addresses one after the other until one accepts it. Addresses that a Redirect names are tried next.
+//
+// A node that has a parent keeps it while it probes, that is, searches for a better one: for a parent with a newer
+// confirmation if its own is stale, and for a parent in its own zone (the home zone) if its own is in another one.
 type parentSearch struct {
-	// attempt is the attempt in progress, nil between attempts.
+	// attempt is the link of the attempt in progress, nil between attempts.
 	attempt     *link
 	nextAttempt time.Time
-	// queue lists what is left of the round: redirect targets first, then the candidates.
-	queue     []joinTarget
+	// queue lists the addresses that remain to be tried in this round.
+	queue []joinTarget
+	// tried holds the addresses that were tried in this round, redirects is the number of redirects in it.
 	tried     map[string]bool
 	redirects int
-	round     int
-	// avoidUntil lists addresses that are left out until a time.
+	// round counts the rounds that ended without success.
+	round int
+	// avoidUntil holds the addresses that are not tried before a time.
 	avoidUntil map[string]time.Time
-	// A node that has a parent keeps it while it probes for a better one.
+	// nextProbe and probeInterval are those of probes for a newer confirmation, nextHomeProbe and homeProbeInterval those
+	// of probes for a parent in the home zone.
 	nextProbe         time.Time
 	probeInterval     time.Duration
 	nextHomeProbe     time.Time
 	homeProbeInterval time.Duration
-	// lastParent and lostAt describe the former parent.
+	// lastParent is the ID of the former parent, parentLostAt the time at which it ceased to be the parent.
 	lastParent   string
 	parentLostAt time.Time
 }
@@ -46,15 +53,15 @@
 	return parentSearch{nextAttempt: next, tried: make(map[string]bool), avoidUntil: make(map[string]time.Time)}
 }
 
-// failedTargetPause keeps an address that failed out of the selection. It is a little longer than the limit of staleness, so
-// that a node tries all others first.
+// failedTargetPause is the time for which an address is not tried after a failed attempt. It is a little longer than
+// Config.StaleAfter, so that a node tries all other addresses first.
 func (p *Peer) failedTargetPause() time.Duration { return p.config.StaleAfter * 5 / 4 }
 
-// minProbeInterval is the first pause between two probes of a stale peer; it doubles up to
-// Config.ProbeMax.
+// minProbeInterval is the first interval between two probes of a node with a stale parent. The interval doubles up to
+// Config.MaxProbeInterval.
 func (p *Peer) minProbeInterval() time.Duration { return p.config.StaleAfter / 2 }
 
-// searchForParent starts the next attempt if one is due.
+// searchForParent starts the next attempt to join a parent, or a better parent than the present one, if one is due.
 func (p *Peer) searchForParent() {
 	if p.search.attempt != nil {
 		return
@@ -71,54 +78,57 @@
 	}
 }
 
+// searchWithoutParent continues the search of a node that has no parent.
 func (p *Peer) searchWithoutParent() {
-	a := &p.search
-	if p.now.Before(a.nextAttempt) {
+	s := &p.search
+	if p.now.Before(s.nextAttempt) {
 		return
 	}
-	if len(a.queue) == 0 {
+	if len(s.queue) == 0 {
 		p.startRound(p.roundTargets())
 	}
 	p.tryNext()
 }
 
+// startRound starts a round with the given targets and forgets the addresses that may be tried again.
 func (p *Peer) startRound(targets []joinTarget) {
-	a := &p.search
-	clear(a.tried)
-	a.redirects = 0
-	a.queue = targets
-	for address, until := range a.avoidUntil {
+	s := &p.search
+	clear(s.tried)
+	s.redirects = 0
+	s.queue = targets
+	for address, until := range s.avoidUntil {
 		if !p.now.Before(until) {
-			delete(a.avoidUntil, address)
+			delete(s.avoidUntil, address)
 		}
 	}
 }
 
-// tryNext dials the first usable address of the queue. When none is left, it ends the round.
+// tryNext dials the first usable address of the queue, after its random delay if it has one. When no address is left,
+// it ends the round.
 func (p *Peer) tryNext() {
-	a := &p.search
-	for len(a.queue) > 0 {
-		next := a.queue[0]
+	s := &p.search
+	for len(s.queue) > 0 {
+		next := s.queue[0]
 		if next.maxDelay > 0 {
-			a.queue[0].maxDelay = 0
-			a.nextAttempt = p.now.Add(p.random(next.maxDelay))
+			s.queue[0].maxDelay = 0
+			s.nextAttempt = p.now.Add(p.random(next.maxDelay))
 			return
 		}
-		a.queue = a.queue[1:]
-		if _, failed := a.avoidUntil[next.address]; failed || a.tried[next.address] || next.address == p.config.Address {
+		s.queue = s.queue[1:]
+		if _, failed := s.avoidUntil[next.address]; failed || s.tried[next.address] || next.address == p.config.Address {
 			continue
 		}
 		p.dialTarget(next)
 		return
 	}
-	p.endRound(p.random(min(p.config.JoinJitter, time.Duration(a.round+1)*roundPauseStep)))
+	p.endRound(p.random(min(p.config.JoinJitter, time.Duration(s.round+1)*roundPauseStep)))
 }
 
 func (p *Peer) endRound(pause time.Duration) {
-	a := &p.search
-	a.queue = nil
-	a.round++
-	a.nextAttempt = p.now.Add(pause)
+	s := &p.search
+	s.queue = nil
+	s.round++
+	s.nextAttempt = p.now.Add(pause)
 }
 
 func (p *Peer) dialTarget(t joinTarget) {
@@ -136,17 +146,18 @@
 	return l
 }
 
-// roundTargets lists the candidates in order of preference: neighbours, the members of the zone (before the neighbours
-// with MembersFirst), the configured addresses, then members elsewhere.
+// roundTargets lists the addresses to try in a round in order of preference: nodes of the zone, members of the zone
+// (before the nodes with Config.PreferMembers), Config.JoinAddresses, then members of other zones.
 func (p *Peer) roundTargets() []joinTarget {
 	targets := p.nodeTargets()
-	known := len(targets) > 0
+	hasNodes := len(targets) > 0
 	memberDelay := time.Duration(0)
 	if p.search.lastParent != "" {
-		memberDelay = p.config.JoinJitter / 2 // Members are shared by the zone: the children of a lost parent spread out.
+		// All nodes of the zone share its members: a delay keeps the children of a lost parent from joining at once.
+		memberDelay = p.config.JoinJitter / 2
 	}
 	home, remote := p.memberTargets()
-	if known && len(home) > 0 {
+	if hasNodes && len(home) > 0 {
 		home[0].maxDelay = memberDelay
 	}
 	if p.config.PreferMembers {
@@ -163,8 +174,9 @@
 	return append(targets, remote...)
 }
 
-// nodeTargets returns up to three nodes of the zone that are of lower order, first the one whose place in the zone
-// order makes it the parent of this node.
+// nodeTargets returns up to three nodes of the zone that are of lower order than this node. The first is the parent
+// that this node has in a full tree of the zone's nodes, where each has FanOut children in their order; the others are
+// random.
 func (p *Peer) nodeTargets() []joinTarget {
 	var lower []endpoints.Record
 	for _, r := range p.propagation.table.InZone(p.config.Zone) {
@@ -189,8 +201,9 @@
 	return targets
 }
 
-// memberTargets returns the members of the own zone in random order, and the others in an order that all nodes of the
-// zone share, so that they meet at one member and follow each other.
+// memberTargets returns the members of the home zone in random order, and the members of other zones in an order that
+// is the same for all nodes of this zone. If the zone has no member, its nodes thus join the same remote member, which
+// accepts few of them and redirects the rest to these.
 func (p *Peer) memberTargets() (home, remote []joinTarget) {
 	start := 0
 	if len(p.members) > 0 {
@@ -212,40 +225,40 @@
 	p.config.Rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
 
-// probeForFresherParent looks for a parent that gives freshness, while the present one is kept. The pause doubles, since during
-// an outage of the quorum no parent can help.
+// probeForFresherParent searches for a parent with a newer confirmation and keeps the present one meanwhile. The
+// interval doubles, since no parent has a newer confirmation while there is no quorum.
 func (p *Peer) probeForFresherParent() {
-	a := &p.search
-	if len(a.queue) > 0 {
+	s := &p.search
+	if len(s.queue) > 0 {
 		p.continueProbe()
 		return
 	}
-	if p.now.Before(a.nextProbe) {
+	if p.now.Before(s.nextProbe) {
 		return
 	}
-	a.nextProbe = p.now.Add(a.probeInterval/2 + p.random(a.probeInterval))
-	a.probeInterval = min(2*a.probeInterval, p.config.MaxProbeInterval)
+	s.nextProbe = p.now.Add(s.probeInterval/2 + p.random(s.probeInterval))
+	s.probeInterval = min(2*s.probeInterval, p.config.MaxProbeInterval)
 	home, remote := p.memberTargets()
 	p.startRound(append(home, remote...))
 	if len(p.members) == 0 {
 		p.startRound(p.roundTargets())
 	}
-	a.tried[p.parent.address] = true
+	s.tried[p.parent.address] = true
 	p.continueProbe()
 }
 
-// probeHomeZone tries to return to the own zone.
+// probeHomeZone searches for a parent in the home zone and keeps the present one meanwhile.
 func (p *Peer) probeHomeZone() {
-	a := &p.search
-	if len(a.queue) > 0 {
+	s := &p.search
+	if len(s.queue) > 0 {
 		p.continueProbe()
 		return
 	}
-	if p.now.Before(a.nextHomeProbe) {
+	if p.now.Before(s.nextHomeProbe) {
 		return
 	}
-	a.nextHomeProbe = p.now.Add(a.homeProbeInterval/2 + p.random(a.homeProbeInterval))
-	a.homeProbeInterval = min(2*a.homeProbeInterval, p.config.HomeProbeInterval)
+	s.nextHomeProbe = p.now.Add(s.homeProbeInterval/2 + p.random(s.homeProbeInterval))
+	s.homeProbeInterval = min(2*s.homeProbeInterval, p.config.HomeProbeInterval)
 	home, _ := p.memberTargets()
 	if p.config.PreferMembers && len(home) > 0 {
 		p.startRound(home)
@@ -261,7 +274,7 @@
 	}
 }
 
-// requestJoin asks for acceptance, unless the other side turns out to be of higher order.
+// requestJoin sends a Join on a link that has just been opened, unless the other side turns out to be of higher order.
 func (p *Peer) requestJoin(l *link) {
 	if !l.remote.Order().Before(p.order) {
 		p.closeLink(l)
@@ -278,32 +291,33 @@
 	}})
 }
 
-// closeLink closes a link without any consequence for its role.
+// closeLink closes a link without handling the end of its role; see dropLink.
 func (p *Peer) closeLink(l *link) {
 	p.removeLink(l)
 	p.emit(Close{Link: l.id})
 }
 
-// attemptFailed continues with the next address.
+// attemptFailed avoids the address for a time and lets the search continue with the next one.
 func (p *Peer) attemptFailed(l *link) {
-	a := &p.search
-	a.avoidUntil[l.address] = p.now.Add(p.failedTargetPause())
-	if a.attempt == l {
-		a.attempt = nil
+	s := &p.search
+	s.avoidUntil[l.address] = p.now.Add(p.failedTargetPause())
+	if s.attempt == l {
+		s.attempt = nil
 	}
 	if p.config.Member {
 		return
 	}
-	a.nextAttempt = p.now
+	s.nextAttempt = p.now
 }
 
+// handleRedirect lets the search continue with the addresses of a Redirect. Too many redirects end the round.
 func (p *Peer) handleRedirect(l *link, addresses []string) {
-	a := &p.search
+	s := &p.search
 	p.closeLink(l)
-	a.attempt = nil
-	a.nextAttempt = p.now
-	a.redirects++
-	if a.redirects > maxRedirects {
+	s.attempt = nil
+	s.nextAttempt = p.now
+	s.redirects++
+	if s.redirects > maxRedirects {
 		p.endRound(p.random(p.config.JoinJitter))
 		return
 	}
@@ -318,25 +332,26 @@
 	p.search.queue = append(targets, p.search.queue...)
 }
 
-// handleRetryAfter handles a refusal. A member's refusal ends the round, since other joiners wait there too.
+// handleRetryAfter handles a refused Join. A refusal by a member ends the round, since the member is busy with the
+// joins of other nodes.
 func (p *Peer) handleRetryAfter(l *link, r RetryAfter) {
-	a := &p.search
+	s := &p.search
 	p.closeLink(l)
-	a.attempt = nil
-	a.nextAttempt = p.now
+	s.attempt = nil
+	s.nextAttempt = p.now
 	if l.remote.Member {
 		delay := min(time.Duration(r.DelayMs)*time.Millisecond, 2*p.config.JoinJitter)
 		p.endRound(max(0, delay))
 	}
 }
 
-// handleAccept makes the other side the parent. A node that already has a parent changes only for a fresh one.
+// handleAccept makes the other side the parent. A node that already has a parent changes it only for a better one.
 func (p *Peer) handleAccept(l *link, accept Accept) {
 	p.search.attempt = nil
 	if p.parent != nil && !p.isBetterParent(l, accept) {
 		p.send(l, Message{Leave: &Leave{}})
 		p.closeLink(l)
-		// It may have the confirmation of a quorum by the next round: after a split, a leader is elected meanwhile.
+		// The pause is short: after a partition, the other side may get a confirmation soon, once a leader is elected.
 		p.search.avoidUntil[l.address] = p.now.Add(p.minProbeInterval() / 2)
 		return
 	}
@@ -348,13 +363,15 @@
 	p.setParent(l, accept)
 }
 
-// isBetterParent reports whether a candidate is better than the parent: it is fresh, or it is as stale but in the own zone.
+// isBetterParent reports whether a candidate is better than the present parent: its confirmation is recent, or both are
+// stale and only the candidate is in the home zone.
 func (p *Peer) isBetterParent(l *link, accept Accept) bool {
 	fresh := accept.Freshness.Confirmed && time.Duration(accept.Freshness.AgeMs)*time.Millisecond < p.config.StaleAfter
 	returnsHome := l.remote.Zone == p.config.Zone && p.parent.remote.Zone != p.config.Zone
 	return fresh || returnsHome && p.hasStaleParent()
 }
 
+// setParent makes the other side of a link the parent and exchanges the state that both sides need.
 func (p *Peer) setParent(l *link, accept Accept) {
 	invariant.Check(l.remote.Order().Before(p.order), invariant.Internal, "parent is not of lower order",
 		map[string]any{"node": p.config.ID, "parent": l.remote.ID})
@@ -376,34 +393,35 @@
 	p.tryActivate()
 }
 
+// resetSearch ends the search after a join.
 func (p *Peer) resetSearch() {
-	a := &p.search
-	a.queue, a.round, a.redirects = nil, 0, 0
-	a.probeInterval = p.minProbeInterval()
-	a.nextProbe = p.now
+	s := &p.search
+	s.queue, s.round, s.redirects = nil, 0, 0
+	s.probeInterval = p.minProbeInterval()
+	s.nextProbe = p.now
 	p.scheduleHomeProbe()
 }
 
-// scheduleHomeProbe lets a node that follows another zone look for a parent in its own one without a long pause. The pauses
-// after that grow to Config.HomeProbe.
+// scheduleHomeProbe schedules a probe for a parent in the home zone within Config.JoinJitter. The interval of further
+// probes grows from there to Config.HomeProbeInterval.
 func (p *Peer) scheduleHomeProbe() {
-	a := &p.search
-	a.homeProbeInterval = p.config.JoinJitter
-	a.nextHomeProbe = p.now.Add(p.random(a.homeProbeInterval))
+	s := &p.search
+	s.homeProbeInterval = p.config.JoinJitter
+	s.nextHomeProbe = p.now.Add(p.random(s.homeProbeInterval))
 }
 
-// handleParentLoss starts the search for another parent.
+// handleParentLoss starts the search for another parent after a short random delay.
 func (p *Peer) handleParentLoss() {
-	a := &p.search
+	s := &p.search
 	former := p.parent
 	p.parent = nil
-	a.lastParent, a.parentLostAt = former.remote.ID, p.now
-	a.avoidUntil[former.address] = p.now.Add(lostParentPause)
-	a.queue = nil
-	a.nextAttempt = p.now.Add(p.random(parentLossJitter))
+	s.lastParent, s.parentLostAt = former.remote.ID, p.now
+	s.avoidUntil[former.address] = p.now.Add(lostParentPause)
+	s.queue = nil
+	s.nextAttempt = p.now.Add(p.random(parentLossJitter))
 }
 
-// handleEviction handles a parent that made room for a node of lower order.
+// handleEviction handles a Redirect from the parent, which accepted a node of lower order in place of this one.
 func (p *Peer) handleEviction(l *link, addresses []string) {
 	p.dropLink(l)
 	delete(p.search.avoidUntil, l.address)
--- a/coordination/relay/peer.go
+++ b/coordination/relay/peer.go
@@ -8,7 +8,7 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// Peer is the distribution machine of one node or control member.
+// Peer is the state machine that distributes configuration in one node or control member.
 type Peer struct {
 	config  Config
 	order   Order
@@ -18,14 +18,14 @@
 	stats   Stats
 
 	links         map[LinkID]*link
-	sortedLinks   []*link // by number, so that runs with one seed are equal
+	sortedLinks   []*link // by ID, so that runs with the same seed do the same
 	dialCount     uint64
 	parent        *link
 	search        parentSearch
 	members       []MemberInfo
-	unlinkedSince map[string]time.Time // members without a link, since when
-	nextRedial    map[string]time.Time // when a member may be dialed again
-	orphanScans   int                  // searches for orphaned records
+	unlinkedSince map[string]time.Time // since when there is no link to a member
+	nextRedial    map[string]time.Time // earliest time of the next dial to a member
+	orphanScans   int                  // number of scans by suspectOrphans
 	joinLimiter   tokenBucket
 
 	freshness   freshness
@@ -34,7 +34,7 @@
 	propagation propagation
 }
 
-// New returns a peer that has just started, with empty memory.
+// New returns the peer of a process that has just started.
 func New(now time.Time, c Config) *Peer {
 	c = c.withDefaults()
 	p := &Peer{
@@ -63,7 +63,7 @@
 	return Hello{ID: c.ID, Incarnation: c.Incarnation, Zone: c.Zone, Address: c.Address, Member: c.Member}
 }
 
-// Tick lets time pass. It is called about every 50 ms.
+// Tick performs the work that is due at a time. The caller calls it about every 50 ms.
 func (p *Peer) Tick(now time.Time) {
 	p.advance(now)
 	p.checkLinks()
@@ -80,6 +80,7 @@
 	p.flushCounts()
 }
 
+// advance sets the time and removes expired endpoint records.
 func (p *Peer) advance(now time.Time) {
 	if now.After(p.now) {
 		p.now = now
@@ -94,33 +95,33 @@
 	}
 }
 
-// Outputs returns what is to be carried out since the last call.
+// Outputs returns the outputs since the last call; the caller carries them out in order.
 func (p *Peer) Outputs() []Output {
 	outputs := p.outputs
 	p.outputs = nil
 	return outputs
 }
 
-// Table returns the endpoint table. The caller only reads it, on the goroutine that drives the peer.
+// Table returns the endpoint table. The caller may only read it, on the goroutine that drives the peer.
 func (p *Peer) Table() *endpoints.Table { return p.propagation.table }
 
-// SetSource tells a member that its registry changed. The store stays owned by the caller.
+// SetSource tells a member that its registry changed. The store holds the registry's bundles and remains the caller's.
 func (p *Peer) SetSource(now time.Time, s Source, store *bundle.Store) {
 	p.advance(now)
 	p.setSource(s, store)
 }
 
-// SetConfirmed tells a member how long ago a quorum confirmed its registry as current. The state of the last SetSource
-// must include everything that was committed at that time.
+// SetConfirmed tells a member how long ago a quorum confirmed that its registry was up to date. The last SetSource must
+// include everything that was committed at that time.
 func (p *Peer) SetConfirmed(now time.Time, age time.Duration) {
 	p.advance(now)
 	p.freshness.update(p.now, p.latestVersion(), p.now, age)
 }
 
-// SetJoinAddresses replaces the addresses that are tried when nothing else is known.
+// SetJoinAddresses replaces Config.JoinAddresses.
 func (p *Peer) SetJoinAddresses(addresses []string) { p.config.JoinAddresses = addresses }
 
-// SetMembers tells a member which control members exist, itself included. It dials those with a smaller ID.
+// SetMembers tells a member which control members exist, including itself. The member dials those with a smaller ID.
 func (p *Peer) SetMembers(now time.Time, members []MemberInfo) {
 	p.advance(now)
 	p.setMembers(members)
@@ -135,7 +136,7 @@
 	return time.Duration(p.config.Rand.Int63n(int64(limit)))
 }
 
-// linksOf returns the links with one of the roles, in the order of their numbers.
+// linksOf returns the links that have one of the roles, in the order of their IDs.
 func (p *Peer) linksOf(roles ...role) []*link {
 	var found []*link
 	for _, l := range p.sortedLinks {
@@ -162,7 +163,7 @@
 
 func (p *Peer) children() []*link { return p.linksOf(roleChild) }
 
-// Status describes the peer.
+// Status returns the peer's view of the distribution.
 func (p *Peer) Status() Status {
 	s := Status{
 		ID: p.config.ID, Zone: p.config.Zone, Member: p.config.Member,
--- a/coordination/relay/poll.go
+++ b/coordination/relay/poll.go
@@ -4,17 +4,18 @@
 	"time"
 )
 
-// freshness is what a peer knows about how current its state is: at some time within the last ageAt(now), version was
-// the latest approved version. It uses durations on the local monotonic clock only.
+// freshness tells how current a peer's state is: at some time within the last ageAt(now), version was the latest
+// approved version. It depends on durations of the local monotonic clock only.
 type freshness struct {
-	confirmed  bool
-	version    uint64
+	confirmed bool
+	version   uint64
+	// age is the age of the confirmation at the time measuredAt.
 	measuredAt time.Time
-	age        time.Duration // at anchor
-	depth      int
+	age        time.Duration
+	depth      int // number of links to the member at the root of the tree
 }
 
-// ageAt bounds the time since the confirmation. The factor covers clocks of different rate.
+// ageAt returns an upper bound of the time since the confirmation. clockDriftFactor covers clocks of different rates.
 func (f *freshness) ageAt(now time.Time) time.Duration {
 	if !f.confirmed {
 		return 0
@@ -22,21 +23,21 @@
 	return time.Duration(float64(now.Sub(f.measuredAt)+f.age) * clockDriftFactor)
 }
 
-// update takes in a confirmation of a version that had the given age at anchor. A lower version than the known one is
-// an older confirmation and is ignored. Of two ages the smaller one holds for the greater version too, since the
-// greater version was confirmed later.
-func (f *freshness) update(now time.Time, version uint64, anchor time.Time, age time.Duration) {
+// update processes a confirmation of a version that had the given age at the time measuredAt. A confirmation of a lower
+// version than the known one is older and is ignored. The smaller of the known and the given age is kept, also for a
+// greater version, since the greater version was confirmed later.
+func (f *freshness) update(now time.Time, version uint64, measuredAt time.Time, age time.Duration) {
 	if f.confirmed && version < f.version {
 		return
 	}
 	f.version = version
-	if !f.confirmed || now.Sub(anchor)+age < now.Sub(f.measuredAt)+f.age {
-		f.measuredAt, f.age = anchor, age
+	if !f.confirmed || now.Sub(measuredAt)+age < now.Sub(f.measuredAt)+f.age {
+		f.measuredAt, f.age = measuredAt, age
 	}
 	f.confirmed = true
 }
 
-// currentFreshness is what this peer tells its children.
+// currentFreshness returns the freshness that this peer tells its children.
 func (p *Peer) currentFreshness() Freshness {
 	if !p.freshness.confirmed {
 		return Freshness{Depth: p.freshness.depth}
@@ -46,7 +47,8 @@
 	return Freshness{Confirmed: true, Version: p.freshness.version, AgeMs: int64(roundedUp), Depth: p.freshness.depth}
 }
 
-// updateFreshness takes in the parent's answer to a request that was sent at the given time.
+// updateFreshness processes the freshness in the parent's reply to a request that was sent at the given time. Its age
+// is counted from that time, since the reply was made later.
 func (p *Peer) updateFreshness(sent time.Time, f Freshness) {
 	p.freshness.depth = f.Depth + 1
 	if !f.Confirmed || f.AgeMs < 0 {
@@ -55,17 +57,18 @@
 	p.freshness.update(p.now, f.Version, sent, time.Duration(f.AgeMs)*time.Millisecond)
 }
 
-// staleLimit is the confirmed age from which on the peer looks for another parent. Each level below the first adds half of
-// the limit, so that the child closest to the stale source moves first and the subtrees below it stay as they are.
+// staleLimit returns the age of the confirmation from which on the peer looks for another parent. Each level below the
+// first adds half of Config.StaleAfter, so that the child closest to the outdated member moves first and the subtrees
+// below it remain as they are.
 func (p *Peer) staleLimit() time.Duration {
 	if p.bundles.newestVersion() == 0 && !p.config.Member {
-		// Nothing is in force: any member that has the confirmation of a quorum is better than waiting for this one.
+		// Nothing is in force here: to follow any member that has a quorum is better than to wait for this one.
 		return p.config.StaleAfter / 3
 	}
 	return p.config.StaleAfter + time.Duration(max(0, p.freshness.depth-1))*p.config.StaleAfter/2
 }
 
-// hasStaleParent reports whether the parent fails to give freshness.
+// hasStaleParent reports whether the confirmation that came from the parent is missing or too old.
 func (p *Peer) hasStaleParent() bool {
 	if p.parent == nil || p.now.Sub(p.parent.openedAt) < p.staleLimit() {
 		return false
@@ -73,7 +76,7 @@
 	return !p.freshness.confirmed || p.freshness.ageAt(p.now) > p.staleLimit()
 }
 
-// pollAll sends the polls that are due: to the parent, and between members from the side that dialed.
+// pollAll sends the polls that are due: to the parent, and from a member to the members that it dialed.
 func (p *Peer) pollAll() {
 	for _, l := range p.linksOf(roleParent, roleMember) {
 		if l.outbound && !p.now.Before(l.nextPoll) {
@@ -82,12 +85,13 @@
 	}
 }
 
+// poll sends a poll with the counts if they changed, and schedules the next one.
 func (p *Peer) poll(l *link) {
 	l.sequence++
 	l.pollSent[l.sequence%uint64(len(l.pollSent))] = p.now
 	interval := p.config.PollInterval
 	if p.bundles.newestVersion() == 0 && !p.config.Member && p.now.Sub(p.started) < 2*p.config.StaleAfter {
-		// A node that has just started serves nobody until a quorum has confirmed its first version.
+		// A node that has just started serves no call until a quorum has confirmed its first version.
 		interval /= startupPollFactor
 	}
 	jitter := time.Duration((2*p.config.Rand.Float64() - 1) * pollJitter * float64(interval))
@@ -100,6 +104,7 @@
 	p.send(l, Message{Poll: poll})
 }
 
+// handlePollReply updates the freshness. Replies to polls whose send time is no longer known are ignored.
 func (p *Peer) handlePollReply(l *link, reply PollReply) {
 	if reply.Sequence == 0 || reply.Sequence > l.sequence || reply.Sequence+uint64(len(l.pollSent)) <= l.sequence {
 		return
@@ -108,6 +113,8 @@
 	p.tryActivate()
 }
 
+// handlePoll replies to a poll. The first poll on a link starts the exchange of the state; later ones compare the
+// tables.
 func (p *Peer) handlePoll(l *link, poll Poll) {
 	p.send(l, Message{PollReply: &PollReply{Sequence: poll.Sequence, Freshness: p.currentFreshness()}})
 	if poll.Counts != nil {
