--- a/coordination/relay/aggregate.go
+++ b/coordination/relay/aggregate.go
@@ -6,27 +6,29 @@
 	"time"
 )
 
-// countReport is the state of the aggregates that go upward.
+// countReport is the state of the counts that a peer reports to its parent or, between members, to the others.
 type countReport struct {
-	// changed is set when the counts may differ from what was last sent; since when the change is waiting.
+	// changed is set when the counts may differ from those that were last sent. changedAt is when flushCounts first saw
+	// the change; zero before.
 	changed   bool
 	changedAt time.Time
-	// Versions up to suppressedVersion are not reported before heldUntil, since former ancestors may still count them.
+	// Versions up to suppressedVersion are not reported before suppressUntil, since former ancestors may still count
+	// them; see countSuppression.
 	suppressedVersion uint64
 	suppressUntil     time.Time
-	// maxReported is the greatest version that was ever maxReported.
+	// maxReported is the greatest version that was ever reported.
 	maxReported uint64
 }
 
-// suppressFirstVersion starts the hold of a process that takes its first version: the process that ran before it under the same
-// ID may still be counted with this version.
+// suppressFirstVersion suppresses the first version of a process: the ancestors may still count the process that ran
+// under the same ID before with this version.
 func (c *countReport) suppressFirstVersion(version uint64, started time.Time) {
 	c.suppressedVersion = version
 	c.suppressUntil = started.Add(countSuppression)
 }
 
-// suppressCounts starts the hold after a change of the parent. A link to the same parent as before needs none, since the
-// parent has dropped the counts of the old link.
+// suppressCounts suppresses the reported versions after a change of the parent. If the new parent is the former one,
+// nothing is suppressed, since it has removed the counts of the old link.
 func (p *Peer) suppressCounts(parent string) {
 	c := &p.counts
 	if p.search.lastParent == "" || p.search.lastParent == parent || c.maxReported == 0 {
@@ -39,6 +41,7 @@
 	}
 }
 
+// setCounts stores the counts that a child or another member sent.
 func (p *Peer) setCounts(l *link, a Aggregate) {
 	if len(a.Versions) > maxVersions || len(a.Lagging) > maxLagging || len(a.Zones) > maxZones || a.Nodes < 0 {
 		p.stats.CorruptMessages++
@@ -60,7 +63,7 @@
 	return sum
 }
 
-// total adds the subtrees of the other members.
+// total counts the nodes of this peer's subtree and, in a member, those of the other members.
 func (p *Peer) total() Aggregate {
 	sum := p.subtree()
 	for _, member := range p.linksOf(roleMember) {
@@ -69,6 +72,7 @@
 	return sum
 }
 
+// ownCounts counts this node alone.
 func (p *Peer) ownCounts() Aggregate {
 	version := p.bundles.inForce.Version
 	own := Aggregate{Nodes: 1, Lowest: version}
@@ -81,7 +85,7 @@
 	return own
 }
 
-// maxReasonBytes bounds the reason that a lagging node reports.
+// maxReasonBytes is the length to which the reason that a lagging node reports is cut.
 const maxReasonBytes = 160
 
 func (p *Peer) lagReason() string {
@@ -89,39 +93,41 @@
 	return reason[:min(len(reason), maxReasonBytes)]
 }
 
+// fullLagReason returns why the approved version is not in force; empty if it is or was approved only just now.
 func (p *Peer) fullLagReason() string {
-	c := &p.bundles
-	if reason := c.refusal(); reason != "" {
+	s := &p.bundles
+	if reason := s.refusal(); reason != "" {
 		return reason
 	}
-	if c.approved == nil || c.inForce.Version >= c.approved.Approval.Version || p.now.Sub(c.learnedAt) < laggingAfter {
+	if s.approved == nil || s.inForce.Version >= s.approved.Approval.Version || p.now.Sub(s.approvedAt) < laggingAfter {
 		return ""
 	}
 	switch {
-	case c.approved.Stopped && c.inForce.Version > 0:
+	case s.approved.Stopped && s.inForce.Version > 0:
 		return "stopped"
-	case !c.store.Holds(c.approved.Approval.Digest):
+	case !s.store.Holds(s.approved.Approval.Digest):
 		return "parts missing"
-	case c.newestVersion() == 0:
+	case s.newestVersion() == 0:
 		return "not confirmed since start"
 	default:
 		return "activation pending"
 	}
 }
 
-// report returns the counts that may be sent upward now.
+// report returns the counts without the suppressed versions, as they may be sent now.
 func (p *Peer) report() Aggregate {
 	sum := p.subtree()
 	if p.config.Member {
 		sum.Zones = p.ownZones()
 	}
 	if p.now.Before(p.counts.suppressUntil) {
-		// Cloned, since the sum of one aggregate shares its slice.
+		// Cloned, since add returns its operand's slice if the other operand is empty.
 		sum.Versions = slices.DeleteFunc(slices.Clone(sum.Versions), func(v VersionCount) bool { return v.Version <= p.counts.suppressedVersion })
 	}
 	return sum
 }
 
+// noteReported records that counts are sent on a link.
 func (p *Peer) noteReported(l *link, a Aggregate) {
 	l.sentCounts = a
 	if len(a.Versions) > 0 {
@@ -129,7 +135,8 @@
 	}
 }
 
-// flushCounts sends changed counts of versions shortly after the change. Other changes go with the next poll.
+// flushCounts sends the counts countReportDelay after a change if those of versions changed. Other changes are sent
+// with the next poll.
 func (p *Peer) flushCounts() {
 	c := &p.counts
 	if !c.changed {
@@ -152,7 +159,7 @@
 	}
 }
 
-// add returns the sum of two aggregates.
+// add returns the sum of two aggregates, without their zones.
 func (a Aggregate) add(b Aggregate) Aggregate {
 	a.Zones, b.Zones = nil, nil
 	if b.Nodes == 0 {
@@ -169,6 +176,7 @@
 	}
 }
 
+// addVersions adds two lists of counts and returns the counts of the newest versions.
 func addVersions(a, b []VersionCount) []VersionCount {
 	sum := slices.Clone(a)
 	for _, v := range b {
@@ -183,11 +191,13 @@
 	return sum[:min(len(sum), maxVersions)]
 }
 
+// mergeLagging returns the first maxLagging of the nodes in a and b.
 func mergeLagging(a, b []Lag) []Lag {
 	all := append(slices.Clone(a), b...)
 	return all[:min(len(all), maxLagging)]
 }
 
+// equal reports whether two aggregates are equal apart from their zones.
 func (a Aggregate) equal(b Aggregate) bool {
 	return a.Nodes == b.Nodes && a.Lowest == b.Lowest &&
 		slices.Equal(a.Versions, b.Versions) && slices.Equal(a.Lagging, b.Lagging)
--- a/coordination/relay/bundles.go
+++ b/coordination/relay/bundles.go
@@ -14,41 +14,45 @@
 
 // Reasons for which a bundle is refused.
 var (
-	// ErrUpdateMismatch reports an update that is not the one its envelope names.
-	ErrUpdateMismatch = errors.New("relay: update does not match its envelope")
-	// ErrDangling reports a route that names a service or resource that the bundle does not hold.
+	// ErrUpdateMismatch reports an update whose base or target differs from that of the Parts message that carried it.
+	ErrUpdateMismatch = errors.New("relay: base or target of the update differs from that of its message")
+	// ErrDangling reports a route that refers to a service or resource that the bundle does not contain.
 	ErrDangling = errors.New("relay: route refers to a missing service or resource")
-	// ErrPartName reports a part whose content has another name than the manifest gives it.
-	ErrPartName = errors.New("relay: part does not have the name that the manifest gives it")
+	// ErrPartName reports a part whose name differs from its name in the manifest.
+	ErrPartName = errors.New("relay: name of a part differs from the manifest")
 )
 
-// maxPackedUpdates bounds the compressed updates that are kept for the other children of the same state.
+// maxPackedUpdates bounds the number of compressed updates that are kept for children that need the same one.
 const maxPackedUpdates = 8
 
+// packedKey identifies a compressed update: the difference from base to target, or the whole target if base is zero.
 type packedKey struct{ base, target bundle.Digest }
 
-// bundleState is the configuration that the peer knows, holds and has in force.
+// bundleState holds the bundles that the peer stores, the latest approval and the version in force.
 type bundleState struct {
 	store *bundle.Store
-	// approved is the latest approval with a valid signature.
-	approved  *Approved
-	learnedAt time.Time
-	inForce   bundle.Approval
-	previous  bundle.Digest // in force before
-	// pending lists the approvals that the caller was told to activate and has not yet, in order.
+	// approved is the latest approval with a valid signature; approvedAt is when it arrived or was stopped.
+	approved   *Approved
+	approvedAt time.Time
+	inForce    bundle.Approval
+	previous   bundle.Digest // the bundle in force before
+	// pending lists the approvals that the caller was told to activate and has not reported as Activated, in order.
 	pending []bundle.Approval
-	// staged lists bundles received ahead of sign-off, the newest first.
+	// staged lists bundles that were received before their approval, the newest first.
 	staged []bundle.Digest
-	// registryBundles holds the bundles that a member's registry has named so far.
+	// registryBundles holds the bundles of the last SetSource of a member; nil before the first.
 	registryBundles map[bundle.Digest]bool
 
-	fetchAt     time.Time
+	// fetchTarget is the bundle that was fetched last. It is not fetched again before nextFetch.
 	fetchTarget bundle.Digest
+	nextFetch   time.Time
 	packed      map[packedKey][]byte
 
+	// refusedDigest is the bundle that was refused last.
 	refusedDigest bundle.Digest
 	refusedReason string
-	// approvalError and badParts are the last failures to receive an approval and the approved bundle.
+	// approvalError and partsError say why the last approval and the last Parts of the approved bundle were refused;
+	// empty if they were not.
 	approvalError string
 	partsError    string
 }
@@ -57,40 +61,40 @@
 	return bundleState{store: bundle.NewStore(), packed: make(map[packedKey][]byte)}
 }
 
-func (c *bundleState) stopped() bool { return c.approved != nil && c.approved.Stopped }
+func (s *bundleState) stopped() bool { return s.approved != nil && s.approved.Stopped }
 
-// refusal returns why the approved bundle is not in force, if it was refused.
-func (c *bundleState) refusal() string {
-	if c.approved != nil && c.refusedReason != "" && c.refusedDigest == c.approved.Approval.Digest {
-		return c.refusedReason
+// refusal returns the reason for which the approved bundle was refused; empty if it was not.
+func (s *bundleState) refusal() string {
+	if s.approved != nil && s.refusedReason != "" && s.refusedDigest == s.approved.Approval.Digest {
+		return s.refusedReason
 	}
-	return cmp.Or(c.approvalError, c.partsError)
+	return cmp.Or(s.approvalError, s.partsError)
 }
 
-// newestVersion returns the newest version that is in force or about to be.
-func (c *bundleState) newestVersion() uint64 {
-	if n := len(c.pending); n > 0 {
-		return c.pending[n-1].Version
+// newestVersion returns the newest version that is in force or that the caller was told to activate.
+func (s *bundleState) newestVersion() uint64 {
+	if n := len(s.pending); n > 0 {
+		return s.pending[n-1].Version
 	}
-	return c.inForce.Version
+	return s.inForce.Version
 }
 
-// recentlyActive lists the bundles that are or were lately in force.
-func (c *bundleState) recentlyActive() []bundle.Digest {
+// recentlyActive lists the bundles that are about to come into force, that is in force and that was in force before.
+func (s *bundleState) recentlyActive() []bundle.Digest {
 	var digests []bundle.Digest
-	for _, a := range c.pending {
+	for _, a := range s.pending {
 		digests = append(digests, a.Digest)
 	}
-	return append(digests, c.inForce.Digest, c.previous)
+	return append(digests, s.inForce.Digest, s.previous)
 }
 
-// offered lists the bundles that children should hold, the approved one first.
-func (c *bundleState) offered() []bundle.Digest {
+// offered lists the bundles that the children should have, the approved one first.
+func (s *bundleState) offered() []bundle.Digest {
 	var digests []bundle.Digest
-	if c.approved != nil {
-		digests = append(digests, c.approved.Approval.Digest)
+	if s.approved != nil {
+		digests = append(digests, s.approved.Approval.Digest)
 	}
-	for _, digest := range c.staged {
+	for _, digest := range s.staged {
 		if !slices.Contains(digests, digest) {
 			digests = append(digests, digest)
 		}
@@ -98,15 +102,15 @@
 	return digests
 }
 
-// completeBundles lists the bundles that are completely held, the most useful base for a difference first.
-func (c *bundleState) completeBundles() []bundle.Digest {
-	var held []bundle.Digest
-	for _, digest := range append(c.offered(), c.recentlyActive()...) {
-		if c.store.Holds(digest) && !slices.Contains(held, digest) {
-			held = append(held, digest)
+// completeBundles lists the bundles of which all parts are stored, the most useful base for a difference first.
+func (s *bundleState) completeBundles() []bundle.Digest {
+	var stored []bundle.Digest
+	for _, digest := range append(s.offered(), s.recentlyActive()...) {
+		if s.store.Holds(digest) && !slices.Contains(stored, digest) {
+			stored = append(stored, digest)
 		}
 	}
-	return held[:min(len(held), maxListedBundles)]
+	return stored[:min(len(stored), maxListedBundles)]
 }
 
 func (p *Peer) latestVersion() uint64 {
@@ -116,75 +120,79 @@
 	return p.bundles.approved.Approval.Version
 }
 
-// setSource takes over a member's registry state and sends what is new to the children.
-func (p *Peer) setSource(s Source, store *bundle.Store) {
-	c := &p.bundles
-	c.store = store
-	first := c.registryBundles == nil
+// setSource stores the state of a member's registry and sends new bundles and approvals to the children.
+func (p *Peer) setSource(source Source, store *bundle.Store) {
+	s := &p.bundles
+	s.store = store
+	first := s.registryBundles == nil
 	if first {
-		c.registryBundles = make(map[bundle.Digest]bool)
-	}
-	// After the start of a member, staged and formerly approved bundles cannot be told apart. None is sent ahead.
-	var fresh []bundle.Digest
-	for _, digest := range s.Bundles {
-		if !c.registryBundles[digest] && !first {
-			fresh = append(fresh, digest)
+		s.registryBundles = make(map[bundle.Digest]bool)
+	}
+	// The registry's bundles at the start of a member may be staged or approved earlier, which cannot be told apart. So
+	// none of them counts as staged.
+	var added []bundle.Digest
+	for _, digest := range source.Bundles {
+		if !s.registryBundles[digest] && !first {
+			added = append(added, digest)
 		}
 	}
-	c.setRegistryBundles(s.Bundles)
-	for _, digest := range fresh {
+	s.setRegistryBundles(source.Bundles)
+	for _, digest := range added {
 		p.stage(digest)
 	}
-	c.staged = slices.DeleteFunc(c.staged, func(d bundle.Digest) bool { return !store.Holds(d) })
-	if s.Latest != nil {
-		p.setApproved(Approved{Approval: *s.Latest, Stopped: s.Stopped})
+	s.staged = slices.DeleteFunc(s.staged, func(d bundle.Digest) bool { return !store.Holds(d) })
+	if source.Latest != nil {
+		p.setApproved(Approved{Approval: *source.Latest, Stopped: source.Stopped})
 	}
 	p.offerToChildren()
 }
 
-func (c *bundleState) setRegistryBundles(held []bundle.Digest) {
-	clear(c.registryBundles)
-	for _, digest := range held {
-		c.registryBundles[digest] = true
+func (s *bundleState) setRegistryBundles(digests []bundle.Digest) {
+	clear(s.registryBundles)
+	for _, digest := range digests {
+		s.registryBundles[digest] = true
 	}
 }
 
-// stage remembers a bundle that may be approved soon.
+// stage adds a bundle to the staged ones unless it is approved already.
 func (p *Peer) stage(digest bundle.Digest) {
-	c := &p.bundles
-	if c.approved != nil && c.approved.Approval.Digest == digest {
+	s := &p.bundles
+	if s.approved != nil && s.approved.Approval.Digest == digest {
 		return
 	}
-	c.unstage(digest)
-	c.staged = slices.Insert(c.staged, 0, digest)
-	c.staged = c.staged[:min(len(c.staged), maxStaged)]
+	s.unstage(digest)
+	s.staged = slices.Insert(s.staged, 0, digest)
+	s.staged = s.staged[:min(len(s.staged), maxStaged)]
 }
 
-// unstage forgets an approved bundle, so that it is not offered any more once a later one is approved.
-func (c *bundleState) unstage(digest bundle.Digest) {
-	c.staged = slices.DeleteFunc(c.staged, func(d bundle.Digest) bool { return d == digest })
+// unstage removes an approved bundle from the staged ones, so that it is no longer offered once a later one is
+// approved.
+func (s *bundleState) unstage(digest bundle.Digest) {
+	s.staged = slices.DeleteFunc(s.staged, func(d bundle.Digest) bool { return d == digest })
 }
 
-// receiveApproval takes in the parent's latest approval. An approval with a bad signature is not passed on.
+// receiveApproval processes the parent's latest approval. An approval with a bad signature is ignored and not
+// forwarded.
 func (p *Peer) receiveApproval(a Approved) {
-	c := &p.bundles
+	s := &p.bundles
 	version := p.latestVersion()
 	if a.Approval.Version < version {
 		return
 	}
-	if a.Approval.Version == version && c.approved != nil {
+	if a.Approval.Version == version && s.approved != nil {
 		p.receiveStop(a)
 		return
 	}
 	if err := p.config.Keys.Verify(a.Approval); err != nil {
-		c.approvalError = fmt.Sprintf("approval of version %d: %v", a.Approval.Version, err)
+		s.approvalError = fmt.Sprintf("approval of version %d: %v", a.Approval.Version, err)
 		return
 	}
-	c.approvalError = ""
+	s.approvalError = ""
 	p.setApproved(a)
 	p.tryActivate()
 }
 
+// receiveStop records that the known version was stopped. A second approval of that version violates an invariant.
 func (p *Peer) receiveStop(a Approved) {
 	approved := p.bundles.approved
 	sameDigest := a.Approval.Digest == approved.Approval.Digest
@@ -195,79 +203,83 @@
 	}
 }
 
-// setApproved records an approval that is newer than the known one, or stops it, and tells the children.
+// setApproved records an approval that is newer than the known one, or the stop of the known one, and sends it to the
+// children.
 func (p *Peer) setApproved(a Approved) {
-	c := &p.bundles
-	if held := c.approved; held != nil {
-		newer := a.Approval.Version > held.Approval.Version
-		stops := a.Approval.Version == held.Approval.Version && a.Stopped && !held.Stopped
+	s := &p.bundles
+	if known := s.approved; known != nil {
+		newer := a.Approval.Version > known.Approval.Version
+		stops := a.Approval.Version == known.Approval.Version && a.Stopped && !known.Stopped
 		if !newer && !stops {
 			return
 		}
 	}
-	c.approved = &a
-	c.unstage(a.Approval.Digest)
-	c.learnedAt = p.now
+	s.approved = &a
+	s.unstage(a.Approval.Digest)
+	s.approvedAt = p.now
 	for _, child := range p.children() {
 		p.send(child, Message{Approved: &a})
 	}
 }
 
-// tryActivate puts the approved bundle into force, or asks for it. The rules of section 4 of the design decide: a
-// node without a version takes one only if a quorum confirmed it after the node's start, and a stopped version is
-// taken only by a node without a version.
+// tryActivate activates the approved bundle, or fetches it if it is not stored. A node without a version activates one
+// only if a quorum confirmed it after the node's start. A stopped version is activated only by a node without a
+// version.
 func (p *Peer) tryActivate() {
-	c := &p.bundles
-	if p.config.Member || c.approved == nil {
+	s := &p.bundles
+	if p.config.Member || s.approved == nil {
 		return
 	}
-	a := c.approved.Approval
-	if a.Version <= c.newestVersion() || c.refusedReason != "" && c.refusedDigest == a.Digest {
+	a := s.approved.Approval
+	if a.Version <= s.newestVersion() || s.refusedReason != "" && s.refusedDigest == a.Digest {
 		return
 	}
-	if !c.store.Holds(a.Digest) {
+	if !s.store.Holds(a.Digest) {
 		p.fetch(a.Digest)
 		return
 	}
-	if c.newestVersion() == 0 && !p.confirmedSinceStart(a.Version) {
+	if s.newestVersion() == 0 && !p.confirmedSinceStart(a.Version) {
 		return
 	}
-	if c.newestVersion() > 0 && c.approved.Stopped {
+	if s.newestVersion() > 0 && s.approved.Stopped {
 		return
 	}
 	p.activate(a)
 }
 
+// confirmedSinceStart reports whether a quorum confirmed after the start of the process that no version above the given
+// one is approved.
 func (p *Peer) confirmedSinceStart(version uint64) bool {
 	return p.freshness.confirmed && version >= p.freshness.version && p.freshness.ageAt(p.now) < p.now.Sub(p.started)
 }
 
+// activate checks the bundle of an approval and tells the caller to put it into force, or refuses it.
 func (p *Peer) activate(a bundle.Approval) {
-	c := &p.bundles
+	s := &p.bundles
 	b, err := p.assemble(a.Digest)
 	if err != nil {
-		c.refusedDigest, c.refusedReason = a.Digest, err.Error()
+		s.refusedDigest, s.refusedReason = a.Digest, err.Error()
 		p.counts.changed = true
-		p.emit(Refused{Version: a.Version, Reason: c.refusedReason})
+		p.emit(Refused{Version: a.Version, Reason: s.refusedReason})
 		return
 	}
-	newer := invariant.Check(a.Version > c.newestVersion(), invariant.VersionRollback, "version goes down",
-		map[string]any{"node": p.config.ID, "from": c.newestVersion(), "to": a.Version})
+	newer := invariant.Check(a.Version > s.newestVersion(), invariant.VersionRollback, "version goes down",
+		map[string]any{"node": p.config.ID, "from": s.newestVersion(), "to": a.Version})
 	whole := invariant.Check(checkReferences(b) == nil, invariant.DanglingRoute, "activated bundle has a dangling route",
 		map[string]any{"node": p.config.ID, "version": a.Version})
 	if !newer || !whole {
 		return
 	}
-	if c.newestVersion() == 0 {
+	if s.newestVersion() == 0 {
 		p.counts.suppressFirstVersion(a.Version, p.started)
 	}
-	c.refusedReason, c.partsError = "", ""
-	c.pending = append(c.pending, a)
+	s.refusedReason, s.partsError = "", ""
+	s.pending = append(s.pending, a)
 	p.emit(Activate{Approval: a, Bundle: b})
 	p.dropUnusedBundles()
 }
 
-// assemble assembles a bundle and checks it as a whole.
+// assemble assembles a bundle from its parts and checks it as a whole.
 func (p *Peer) assemble(digest bundle.Digest) (*bundle.Bundle, error) {
 	manifest, ok := p.bundles.store.Manifest(digest)
 	if !ok || manifest.Digest() != digest {
@@ -291,7 +303,7 @@
 	return b, nil
 }
 
-// checkNames compares the names of the parts with those that the manifest lists in the same order.
+// checkNames checks that the parts have the names that the manifest lists in the same order.
 func checkNames(manifest bundle.Manifest, b *bundle.Bundle) error {
 	names := make([]string, 0, len(manifest.Entries))
 	for _, service := range b.Services {
@@ -315,6 +327,7 @@
 	return nil
 }
 
+// checkReferences checks that the bundle contains every service and resource that its routes refer to.
 func checkReferences(b *bundle.Bundle) error {
 	services := make(map[string]bool, len(b.Services))
 	for _, service := range b.Services {
@@ -339,46 +352,47 @@
 	return nil
 }
 
-// Activated reports that the caller has put a version into force.
+// Activated tells the peer that the caller has put a version into force.
 func (p *Peer) Activated(now time.Time, version uint64) {
 	p.advance(now)
-	c := &p.bundles
-	i := slices.IndexFunc(c.pending, func(a bundle.Approval) bool { return a.Version == version })
-	known := invariant.Check(i >= 0 || version == c.inForce.Version, invariant.VersionRollback,
+	s := &p.bundles
+	i := slices.IndexFunc(s.pending, func(a bundle.Approval) bool { return a.Version == version })
+	known := invariant.Check(i >= 0 || version == s.inForce.Version, invariant.VersionRollback,
 		"a version was put into force that is not the next one",
-		map[string]any{"node": p.config.ID, "from": c.inForce.Version, "to": version})
+		map[string]any{"node": p.config.ID, "from": s.inForce.Version, "to": version})
 	if !known || i < 0 {
 		return
 	}
-	c.previous = c.inForce.Digest
-	c.inForce = c.pending[i]
-	c.pending = slices.Clone(c.pending[i+1:])
+	s.previous = s.inForce.Digest
+	s.inForce = s.pending[i]
+	s.pending = slices.Clone(s.pending[i+1:])
 	p.counts.changed = true
 	p.dropUnusedBundles()
 }
 
-// dropUnusedBundles drops the bundles of a node that nothing refers to any more.
+// dropUnusedBundles removes the bundles from a node's store that are neither offered to children nor recently active.
 func (p *Peer) dropUnusedBundles() {
 	if p.config.Member {
 		return
 	}
-	c := &p.bundles
-	c.store.Retain(append(c.offered(), c.recentlyActive()...)...)
+	s := &p.bundles
+	s.store.Retain(append(s.offered(), s.recentlyActive()...)...)
 }
 
-// fetch asks the parent for a bundle, unless an answer may still arrive.
+// fetch asks the parent for a bundle, unless the parent may still be about to send it.
 func (p *Peer) fetch(target bundle.Digest) {
-	c := &p.bundles
-	asked := c.fetchTarget == target || c.fetchTarget.IsZero() // Zero: the parent of a new link sends it unasked.
-	if p.parent == nil || asked && p.now.Before(c.fetchAt) {
+	s := &p.bundles
+	// If no bundle was fetched on this link yet, the parent sends its bundles without a Fetch.
+	expected := s.fetchTarget == target || s.fetchTarget.IsZero()
+	if p.parent == nil || expected && p.now.Before(s.nextFetch) {
 		return
 	}
-	c.fetchTarget, c.fetchAt = target, p.now.Add(fetchTimeout)
+	s.fetchTarget, s.nextFetch = target, p.now.Add(fetchTimeout)
 	p.stats.Fetches++
-	p.send(p.parent, Message{Fetch: &Fetch{Target: target, Have: c.completeBundles()}})
+	p.send(p.parent, Message{Fetch: &Fetch{Target: target, Have: s.completeBundles()}})
 }
 
-// handleFetch sends the bundle. If it is not held here, offerAll sends it as soon as it is.
+// handleFetch sends the bundle. If it is not stored here yet, offerToChildren sends it once it is.
 func (p *Peer) handleFetch(l *link, f Fetch) {
 	l.remoteBundles = f.Have[:min(len(f.Have), maxListedBundles)]
 	if p.bundles.store.Holds(f.Target) {
@@ -386,7 +400,7 @@
 	}
 }
 
-// offerToChildren sends the offered bundles to the children that do not hold them.
+// offerToChildren sends the offered bundles to the children that do not have them.
 func (p *Peer) offerToChildren() {
 	for _, child := range p.children() {
 		if child.synced {
@@ -395,6 +409,7 @@
 	}
 }
 
+// offer sends the offered bundles that the other side of a link does not have.
 func (p *Peer) offer(l *link) {
 	for _, digest := range p.bundles.offered() {
 		if p.bundles.store.Holds(digest) && !slices.Contains(l.remoteBundles, digest) {
@@ -403,7 +418,8 @@
 	}
 }
 
-// sendParts sends a bundle once, as the smaller of the difference from what the child holds and the whole.
+// sendParts sends a bundle to a child that does not have it, as a difference from a bundle that the child has or whole,
+// whichever is smaller.
 func (p *Peer) sendParts(l *link, target bundle.Digest) {
 	if slices.Contains(l.remoteBundles, target) {
 		return
@@ -425,8 +441,8 @@
 	p.send(l, Message{Parts: &parts})
 }
 
-// packUpdate returns the smaller of the difference and the whole bundle. Only a difference that names more than half
-// of the entries can be the larger one.
+// packUpdate returns the difference from base or the whole bundle, whichever is smaller. Their sizes are compared only
+// if the difference covers more than half of the entries, since a smaller difference is always smaller than the whole.
 func (p *Peer) packUpdate(base, target bundle.Digest) (Parts, error) {
 	if data, ok := p.bundles.packed[packedKey{base: base, target: target}]; ok {
 		return Parts{Base: base, Target: target, Data: data}, nil
@@ -457,23 +473,23 @@
 	p.bundles.packed[key] = data
 }
 
-// receiveParts adds a bundle. Nothing of it is kept unless all of it is correct.
+// receiveParts stores a received bundle. Nothing of it is kept unless all of it is correct.
 func (p *Peer) receiveParts(parts Parts) {
-	c := &p.bundles
+	s := &p.bundles
 	p.stats.PartsReceived++
-	if c.store.Holds(parts.Target) {
+	if s.store.Holds(parts.Target) {
 		p.stats.PartsDuplicate++
 		return
 	}
 	if err := p.addParts(parts); err != nil {
 		p.stats.CorruptMessages++
-		if c.approved != nil && c.approved.Approval.Digest == parts.Target {
-			c.partsError = err.Error()
+		if s.approved != nil && s.approved.Approval.Digest == parts.Target {
+			s.partsError = err.Error()
 			p.tryActivate()
 		}
 		return
 	}
-	c.partsError = ""
+	s.partsError = ""
 	p.cachePacked(packedKey{base: parts.Base, target: parts.Target}, parts.Data)
 	p.stage(parts.Target)
 	p.dropUnusedBundles()
@@ -481,6 +497,7 @@
 	p.tryActivate()
 }
 
+// addParts decodes an update and adds it to the store.
 func (p *Peer) addParts(parts Parts) error {
 	var update bundle.Update
 	if err := unpack(parts.Data, &update); err != nil {
--- a/coordination/relay/codec.go
+++ b/coordination/relay/codec.go
@@ -11,17 +11,18 @@
 // ErrCorruptMessage reports content that does not decompress or decode.
 var ErrCorruptMessage = errors.New("relay: corrupt message content")
 
-// maxUnpackedBytes bounds decompression. A bundle of 1,700 services with two routes each has about 1.5 MB.
+// maxUnpackedBytes bounds the size of decompressed content. A bundle of 1,700 services with two routes each has about
+// 1.5 MB.
 const maxUnpackedBytes = 32 << 20
 
 // The codecs are shared by all peers of a process; both are safe for concurrent use and hold no state between calls.
 var (
-	encoder = sync.OnceValue(newEncoder)
-	decoder = sync.OnceValue(newDecoder)
-	encMode = sync.OnceValue(newEncMode)
+	zstdEncoder = sync.OnceValue(newZstdEncoder)
+	zstdDecoder = sync.OnceValue(newZstdDecoder)
+	cborEncMode = sync.OnceValue(newCBOREncMode)
 )
 
-func newEncoder() *zstd.Encoder {
+func newZstdEncoder() *zstd.Encoder {
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
 	if err != nil {
 		panic(err)
@@ -29,7 +30,7 @@
 	return e
 }
 
-func newDecoder() *zstd.Decoder {
+func newZstdDecoder() *zstd.Decoder {
 	d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxUnpackedBytes))
 	if err != nil {
 		panic(err)
@@ -37,7 +38,7 @@
 	return d
 }
 
-func newEncMode() cbor.EncMode {
+func newCBOREncMode() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(err)
@@ -47,16 +48,16 @@
 
 // pack encodes a value in CBOR and compresses it.
 func pack(value any) ([]byte, error) {
-	data, err := encMode().Marshal(value)
+	data, err := cborEncMode().Marshal(value)
 	if err != nil {
 		return nil, errors.Wrap(err, "relay: encode")
 	}
-	return encoder().EncodeAll(data, make([]byte, 0, len(data)/2)), nil
+	return zstdEncoder().EncodeAll(data, make([]byte, 0, len(data)/2)), nil
 }
 
 // unpack reverses pack. It returns ErrCorruptMessage for content that is damaged or too large.
 func unpack(data []byte, value any) error {
-	raw, err := decoder().DecodeAll(data, nil)
+	raw, err := zstdDecoder().DecodeAll(data, nil)
 	if err != nil {
 		return errors.Mark(errors.Wrap(err, "relay: decompress"), ErrCorruptMessage)
 	}
--- a/coordination/relay/output.go
+++ b/coordination/relay/output.go
@@ -4,34 +4,34 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// LinkID names one link of this peer. The peer chooses the numbers of the links that it dials, with OutboundLink set;
-// the caller chooses those of accepted links, without it. A number is never used twice.
+// LinkID identifies one link of this peer. The peer chooses the IDs of the links that it dials, with OutboundLink set;
+// the caller chooses those of accepted links, without it. No ID is used twice.
 type LinkID uint64
 
-// OutboundLink is the bit that is set in the numbers of dialed links.
+// OutboundLink is the bit that is set in the IDs of dialed links.
 const OutboundLink LinkID = 1 << 63
 
-// Output is what the caller carries out, in order.
+// Output is an action that the caller carries out. Outputs are carried out in order.
 type Output interface{ output() }
 
-// Send transmits a message. Messages of one link arrive in order or the link ends.
+// Send sends a message. The messages of one link must arrive in order; if one is lost, the link must end.
 type Send struct {
 	Link    LinkID
 	Message Message
 }
 
-// Dial opens a link. The caller answers with LinkUp after the exchange of Hello, or with LinkDown.
+// Dial opens a link. The caller calls LinkUp after the exchange of Hello, or LinkDown if that fails.
 type Dial struct {
 	Link    LinkID
 	Address string
 }
 
-// Close ends a link after the messages sent before it. The caller does not report LinkDown for it.
+// Close closes a link after the messages that were sent on it before. The caller does not call LinkDown for it.
 type Close struct {
 	Link LinkID
 }
 
-// Activate puts a bundle into force. The caller answers with Activated after its pointer swap.
+// Activate puts a bundle into force. The caller calls Activated once the bundle is in use.
 type Activate struct {
 	Approval bundle.Approval
 	Bundle   *bundle.Bundle
@@ -48,7 +48,7 @@
 	IDs []string
 }
 
-// CrashesReceived hands on crash reports that were not known before.
+// CrashesReceived reports crash reports that arrived from other peers and were not known before.
 type CrashesReceived struct {
 	Reports []CrashReport
 }
--- a/coordination/relay/parent_search.go
+++ b/coordination/relay/parent_search.go
@@ -382,7 +382,7 @@
 	p.suppressCounts(l.remote.ID)
 	p.resetSearch()
 	p.learnMembers(accept.Members)
-	p.bundles.fetchTarget, p.bundles.fetchAt = bundle.Digest{}, p.now.Add(fetchTimeout)
+	p.bundles.fetchTarget, p.bundles.nextFetch = bundle.Digest{}, p.now.Add(fetchTimeout)
 	if accept.Approved != nil {
 		p.receiveApproval(*accept.Approved)
 	}
--- a/coordination/relay/propagation.go
+++ b/coordination/relay/propagation.go
@@ -9,28 +9,29 @@
 	"sapphiregate.example/sapphiregate/coordination/endpoints"
 )
 
-// Bounds of one message of records.
 const (
 	// minCompressedRecords is the number of records from which on compression saves bytes.
 	minCompressedRecords = 8
 	// maxRecordsPerMessage keeps a message below about 400 KB before compression.
 	maxRecordsPerMessage = 4096
-	// maxUnbucketedRecords is the size up to which the whole table is sent instead of 2 KB of bucket digests.
-	maxUnbucketedRecords = 32
+	// maxFullSyncRecords is the number of records up to which a comparison sends the whole table instead of 2 KB of
+	// bucket digests.
+	maxFullSyncRecords = 32
 )
 
-// formerChild is a former child that is to be published as suspect unless it announces itself again.
+// formerChild is a child whose link has ended. It is published as suspect unless it announces another parent in time.
 type formerChild struct {
 	incarnation  uint64
 	lastReceived time.Time
 }
 
-// receivedCrash is a known receivedCrash report.
+// receivedCrash is a crash report with the time of its receipt, from which on its age grows.
 type receivedCrash struct {
 	report     CrashReport
-	receivedAt time.Time // receipt
+	receivedAt time.Time
 }
 
+// crashKey identifies a crash report.
 type crashKey struct {
 	upstream              string
 	incarnation, sequence uint64
@@ -39,13 +40,15 @@
 // propagation is the state of the distribution of endpoint records and crash reports.
 type propagation struct {
 	table *endpoints.Table
-	own   endpoints.Record
-	// unsent holds the records to be passed on, with the link that they came from; 0 for records from here.
+	own   endpoints.Record // the record of this node's own upstream
+	// unsent holds the IDs of the changed records that are to be forwarded, each with the link on which the change
+	// arrived; 0 if this peer made the change.
 	unsent         map[string]LinkID
-	formerChildren map[string]formerChild
+	formerChildren map[string]formerChild // by node ID
 	nextOrphanScan time.Time
-	crashes        []receivedCrash
-	knownCrashes   map[crashKey]bool
+	// crashes lists the known reports in the order of their receipt; knownCrashes holds their keys.
+	crashes      []receivedCrash
+	knownCrashes map[crashKey]bool
 }
 
 func newPropagation(now time.Time, c Config) propagation {
@@ -58,7 +61,8 @@
 	}
 }
 
-// Announce publishes the node's own endpoint. The peer sets ID, incarnation, sequence, zone and parent itself.
+// Announce publishes the record of the node's own upstream. The peer sets ID, incarnation, zone and parent itself, and
+// the sequence unless the given one is greater than the next one. It does nothing in a member.
 func (p *Peer) Announce(now time.Time, r endpoints.Record) {
 	p.advance(now)
 	if p.config.Member {
@@ -75,7 +79,7 @@
 	p.merge([]endpoints.Record{r}, 0)
 }
 
-// merge adds records to the table and marks the changed ones to be passed on.
+// merge adds records to the table, marks the changed ones to be forwarded, and returns them.
 func (p *Peer) merge(records []endpoints.Record, from LinkID) []endpoints.Record {
 	changed := p.propagation.table.Merge(records)
 	for _, r := range changed {
@@ -84,8 +88,8 @@
 	return changed
 }
 
-// announceParent publishes that this node follows another parent, so that the former one does not suspect it. The
-// parent gets the record before the first poll, so that a table that is equal otherwise needs no comparison.
+// announceParent publishes that this node has a new parent, so that the former one does not suspect it. The new parent
+// gets the record before the first poll, so that tables that are otherwise equal need no comparison.
 func (p *Peer) announceParent(l *link) {
 	own := p.propagation.own
 	own.Parent = l.remote.ID
@@ -95,7 +99,7 @@
 	p.send(l, Message{Endpoints: &Endpoints{Records: []endpoints.Record{own}}})
 }
 
-// reannounceIfRemoved brings the own record back if it was dropped as suspect here.
+// reannounceIfRemoved publishes the node's own record again if it was removed from the table here.
 func (p *Peer) reannounceIfRemoved(removed []endpoints.Record) {
 	for _, r := range removed {
 		if r.ID == p.config.ID && !p.config.Member {
@@ -104,7 +108,8 @@
 	}
 }
 
-// refute answers a record about this node that the node did not publish.
+// refute publishes a newer version of the node's own record after a record about this node arrived that the node did
+// not publish, such as a suspicion. A record of a greater incarnation cannot be refuted.
 func (p *Peer) refute(r endpoints.Record) {
 	own := p.propagation.own
 	if r.Incarnation > own.Incarnation {
@@ -118,6 +123,7 @@
 	p.publishOwn(own)
 }
 
+// receiveRecords merges the records of a message and replies with what the sender lacks.
 func (p *Peer) receiveRecords(l *link, e Endpoints) {
 	records := e.Records
 	if len(e.Compressed) > 0 {
@@ -139,38 +145,39 @@
 	}
 }
 
-// sendTombstones returns the last version of records that were dropped here, so that the sender drops them too, or their
-// node refutes it.
+// sendTombstones replies to outdated records that were removed here with their last versions, so that the sender
+// removes them too, or their nodes refute them.
 func (p *Peer) sendTombstones(l *link, records []endpoints.Record) {
-	var late []endpoints.Record
+	var tombstones []endpoints.Record
 	for _, r := range records {
-		if stone, ok := p.propagation.table.Tombstone(r.ID); ok && r.Compare(stone) < 0 {
-			late = append(late, stone)
+		if removed, ok := p.propagation.table.Tombstone(r.ID); ok && r.Compare(removed) < 0 {
+			tombstones = append(tombstones, removed)
 		}
 	}
-	p.sendRecords(l, late, nil)
+	p.sendRecords(l, tombstones, nil)
 }
 
-// sendNewerRecords returns the records of the compared buckets that the sender lacks or has older.
+// sendNewerRecords sends the records of the compared buckets that the other side lacks or of which it has an older
+// version.
 func (p *Peer) sendNewerRecords(l *link, received []endpoints.Record, buckets []uint8) {
-	theirs := make(map[string]endpoints.Record, len(received))
+	senderRecords := make(map[string]endpoints.Record, len(received))
 	for _, r := range received {
-		theirs[r.ID] = r
+		senderRecords[r.ID] = r
 	}
-	var marked [endpoints.BucketCount]bool
+	var selected [endpoints.BucketCount]bool
 	for _, b := range buckets {
-		marked[b] = true
+		selected[b] = true
 	}
 	var newer []endpoints.Record
-	for _, r := range p.propagation.table.InBuckets(&marked) {
-		if other, ok := theirs[r.ID]; !ok || r.Compare(other) > 0 {
+	for _, r := range p.propagation.table.InBuckets(&selected) {
+		if other, ok := senderRecords[r.ID]; !ok || r.Compare(other) > 0 {
 			newer = append(newer, r)
 		}
 	}
 	p.sendRecords(l, newer, nil)
 }
 
-// sendRecords sends records in messages of bounded size. Only a set that fits one message carries the buckets.
+// sendRecords sends records in messages of bounded size. The buckets are sent only if all records fit into one message.
 func (p *Peer) sendRecords(l *link, records []endpoints.Record, buckets []uint8) {
 	if len(records) == 0 && len(buckets) == 0 {
 		return
@@ -193,8 +200,8 @@
 	p.send(l, Message{Endpoints: message})
 }
 
-// flushRecords passes changed records on: up, down and across members, but not back to where they came from. The
-// members are linked with each other, so a record from one member is not passed to another.
+// flushRecords forwards the changed records to the parent, the children and the other members, but not on the link on
+// which they arrived. All members are linked with each other, so a record from one member is not forwarded to another.
 func (p *Peer) flushRecords() {
 	s := &p.propagation
 	if len(s.unsent) == 0 {
@@ -210,6 +217,7 @@
 	p.emit(EndpointsChanged{IDs: ids})
 }
 
+// unsentFor returns the changed records that are to be sent on a link.
 func (p *Peer) unsentFor(l *link, ids []string) []endpoints.Record {
 	var records []endpoints.Record
 	for _, id := range ids {
@@ -226,7 +234,7 @@
 	return records
 }
 
-// syncLink brings a link that has just been opened up to date.
+// syncLink sends the bundles, crash reports and endpoint records that the other side of a new link lacks.
 func (p *Peer) syncLink(l *link, digest uint64) {
 	if l.role == roleChild {
 		p.offer(l)
@@ -242,8 +250,8 @@
 	p.startComparison(l)
 }
 
-// compareDigest starts a comparison after several polls in a row with an unequal digest. Single mismatches are normal
-// while changes are in flight.
+// compareDigest starts a comparison of the tables after several polls in a row with another digest than the own
+// table's. Single differences are normal while changes are on their way.
 func (p *Peer) compareDigest(l *link, digest uint64) {
 	if digest == p.propagation.table.Digest() {
 		l.digestMismatches = 0
@@ -255,12 +263,13 @@
 	}
 }
 
+// startComparison sends the bucket digests of the table, or a small table as a whole.
 func (p *Peer) startComparison(l *link) {
 	l.digestMismatches = 0
 	l.comparedAt = p.now
 	p.stats.Comparisons++
 	table := p.propagation.table
-	if table.Len() <= maxUnbucketedRecords {
+	if table.Len() <= maxFullSyncRecords {
 		p.sendRecords(l, table.All(), allBuckets())
 		return
 	}
@@ -280,7 +289,7 @@
 	return buckets
 }
 
-// handleCompare sends the content of the buckets that differ.
+// handleCompare replies to bucket digests with the records of the buckets that differ.
 func (p *Peer) handleCompare(l *link, c Compare) {
 	if len(c.BucketDigests) != 8*endpoints.BucketCount {
 		p.stats.CorruptMessages++
@@ -302,12 +311,13 @@
 	}
 }
 
-// addFormerChild remembers a child whose link has ended.
+// addFormerChild remembers a child whose link has ended, so that it is suspected if it does not find another parent.
 func (p *Peer) addFormerChild(l *link) {
 	p.propagation.formerChildren[l.remote.ID] = formerChild{incarnation: l.remote.Incarnation, lastReceived: l.lastReceived}
 }
 
-// suspectFormerChildren publishes former children that have been silent for too long and have not announced another parent.
+// suspectFormerChildren publishes the former children as suspect that sent nothing for endpoints.SuspectAfter and have
+// not announced another parent.
 func (p *Peer) suspectFormerChildren() {
 	s := &p.propagation
 	for _, id := range slices.Sorted(maps.Keys(s.formerChildren)) {
@@ -323,6 +333,7 @@
 	}
 }
 
+// suspect publishes a node as suspect.
 func (p *Peer) suspect(id string) {
 	if suspicion, ok := p.propagation.table.SuspectRecord(id); ok {
 		p.stats.Suspected++
@@ -330,26 +341,26 @@
 	}
 }
 
-// PublishCrashes spreads crash reports of the upstream beside this node.
+// PublishCrashes distributes crash reports that were made by this process.
 func (p *Peer) PublishCrashes(now time.Time, reports []CrashReport) {
 	p.advance(now)
 	p.forwardCrashes(p.addCrashes(reports), nil)
 }
 
 func (p *Peer) receiveCrashes(l *link, reports []CrashReport) {
-	fresh := p.addCrashes(reports)
-	if len(fresh) == 0 {
+	added := p.addCrashes(reports)
+	if len(added) == 0 {
 		return
 	}
-	p.emit(CrashesReceived{Reports: fresh})
-	p.forwardCrashes(fresh, l)
+	p.emit(CrashesReceived{Reports: added})
+	p.forwardCrashes(added, l)
 }
 
-// addCrashes keeps the reports that are not known and returns them.
+// addCrashes stores the reports that are not known and not too old, and returns them.
 func (p *Peer) addCrashes(reports []CrashReport) []CrashReport {
 	s := &p.propagation
 	p.expireCrashes()
-	var fresh []CrashReport
+	var added []CrashReport
 	for _, r := range reports {
 		key := crashKeyOf(r)
 		if s.knownCrashes[key] || r.AgeMs < 0 || r.AgeMs >= crashLifetime.Milliseconds() {
@@ -360,9 +371,9 @@
 		}
 		s.knownCrashes[key] = true
 		s.crashes = append(s.crashes, receivedCrash{report: r, receivedAt: p.now})
-		fresh = append(fresh, r)
+		added = append(added, r)
 	}
-	return fresh
+	return added
 }
 
 func crashKeyOf(r CrashReport) crashKey {
@@ -382,6 +393,7 @@
 	}
 }
 
+// forwardCrashes sends reports on all links but that on which they arrived, and not from one member to another.
 func (p *Peer) forwardCrashes(reports []CrashReport, from *link) {
 	if len(reports) == 0 {
 		return
@@ -394,7 +406,7 @@
 	}
 }
 
-// sendCrashes sends all known reports, with their present age.
+// sendCrashes sends all known reports with their present ages.
 func (p *Peer) sendCrashes(l *link) {
 	p.expireCrashes()
 	var reports []CrashReport
--- a/coordination/relay/status.go
+++ b/coordination/relay/status.go
@@ -14,22 +14,22 @@
 	// Approved is the latest approval that the peer knows; nil before the first.
 	Approved *bundle.Approval
 	Stopped  bool
-	// InForce is the version in force here; 0 if there is none.
+	// InForce is the version in force in this node; 0 if there is none.
 	InForce uint64
-	// Confirmed is false if the peer was never told by a quorum. Age bounds the time since a quorum confirmed
-	// ConfirmedVersion as the latest.
+	// Confirmed is false if the peer has not received any confirmation by a quorum. Age is an upper bound of the time
+	// since a quorum confirmed that ConfirmedVersion was the latest version.
 	Confirmed        bool
 	ConfirmedVersion uint64
 	Age              time.Duration
-	// Stale is set when the age exceeds the limit at which the peer looks for another parent.
+	// Stale is set when the confirmation is so old that the peer looks for another parent.
 	Stale bool
-	// Parent is empty while the peer has none. Depth counts the links to the member.
+	// Parent is the ID of the parent; empty while there is none. Depth is the number of links to the member at the root.
 	Parent            string
 	ParentIncarnation uint64
 	ParentZone        string
 	Depth             int
 	Children          []string
-	// Subtree counts the nodes below this peer and the peer itself; Total adds the subtrees of the other members.
+	// Subtree counts the nodes below this peer and the peer itself. Total adds the subtrees of the other members.
 	Subtree Aggregate
 	Total   Aggregate
 	// Refused is the reason for which the approved bundle was refused; empty if it was not.
@@ -37,13 +37,13 @@
 	Stats   Stats
 }
 
-// Stats counts events since the start.
+// Stats counts events since the start of the process.
 type Stats struct {
 	JoinsAccepted, JoinsRedirected, JoinsDelayed uint64
 	ParentChanges                                uint64
 	Suspected, Refuted                           uint64
 	// Superseded counts records of this node with a greater incarnation: another process runs under the same ID, or the
-	// incarnation went down at the last start. The node's own announcements are without effect then.
+	// incarnation was lowered at the last start. The node's own announcements then have no effect.
 	Superseded                               uint64
 	Comparisons                              uint64
 	PartsSent, PartsReceived, PartsDuplicate uint64
--- a/coordination/relay/zones.go
+++ b/coordination/relay/zones.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// maxZones bounds the zones that one member reports to another: four times the design scale of 16.
+// maxZones bounds the number of zones that one member reports to another: four times the design scale of 16.
 const maxZones = 64
 
-// ZoneCounts describes the nodes of one availability zone, as far as a member knows.
+// ZoneCounts holds a member's counts of the nodes in one availability zone.
 type ZoneCounts struct {
 	Zone   string    `cbor:"1,keyasint"`
 	Counts Aggregate `cbor:"2,keyasint"`
-	// Age is the time since the figures were received. The nodes of a zone are counted with a further delay of about
-	// one poll for each level of the tree.
+	// Age is the time since the oldest of the counts was received. Each level of the tree below adds a delay of about one
+	// poll to the counts.
 	Age time.Duration `cbor:"-"`
 }
 
-// Zones splits the counts of all nodes by zone.
+// Zones returns the counts of all nodes by zone.
 func (p *Peer) Zones() []ZoneCounts {
 	sum := make(map[string]ZoneCounts)
 	p.addOwnZones(sum)
@@ -31,7 +31,7 @@
 	return sortedZones(sum)
 }
 
-// ownZones splits the counts of this member's followers by zone. A follower's subtree is in its own zone.
+// ownZones returns the counts of this member's own subtree by zone. The subtree of a child is in the child's zone.
 func (p *Peer) ownZones() []ZoneCounts {
 	sum := make(map[string]ZoneCounts)
 	p.addOwnZones(sum)
@@ -45,9 +45,9 @@
 }
 
 func addZone(sum map[string]ZoneCounts, zone ZoneCounts) {
-	held := sum[zone.Zone]
+	former := sum[zone.Zone]
 	sum[zone.Zone] = ZoneCounts{
-		Zone: zone.Zone, Counts: held.Counts.add(zone.Counts), Age: max(held.Age, zone.Age),
+		Zone: zone.Zone, Counts: former.Counts.add(zone.Counts), Age: max(former.Age, zone.Age),
 	}
 }
 
