--- a/coordination/relay/bench_test.go
+++ b/coordination/relay/bench_test.go
@@ -15,7 +15,8 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// The benchmarks give the slopes for capacity planning: a peer with 16 children and a table at the design scale.
+// The benchmarks measure the cost per operation for capacity planning: a peer with 16 children and a table at the
+// design scale.
 const (
 	benchChildren = 16
 	benchRecords  = 16_000
@@ -40,7 +41,7 @@
 	return records
 }
 
-// bench is a node with a parent and children. Messages are encoded as on the wire.
+// bench drives one node with a parent and children. Messages to it are encoded and decoded as on the wire.
 type bench struct {
 	peer   *relay.Peer
 	now    time.Time
@@ -110,7 +111,7 @@
 	tb.ReportMetric(float64(b.sent)/float64(tb.N), "messages/op")
 }
 
-// BenchmarkPoll is one poll of one child and its answer.
+// BenchmarkPoll measures one poll by one child and its reply.
 func BenchmarkPoll(tb *testing.B) {
 	b := newBench(tb)
 	digest := b.peer.Table().Digest()
@@ -121,7 +122,7 @@
 	b.report(tb)
 }
 
-// BenchmarkTick is an idle tick; there are 20 per second.
+// BenchmarkTick measures a tick without work; there are 20 per second.
 func BenchmarkTick(tb *testing.B) {
 	b := newBench(tb)
 	b.start(tb)
@@ -131,7 +132,7 @@
 	b.report(tb)
 }
 
-// BenchmarkEndpointChange is one changed record that arrives from one child and goes to the 15 others.
+// BenchmarkEndpointChange measures one changed record that arrives from one child and is sent to the 15 others.
 func BenchmarkEndpointChange(tb *testing.B) {
 	b := newBench(tb)
 	b.start(tb)
@@ -142,11 +143,11 @@
 	b.report(tb)
 }
 
-// BenchmarkRollout is a change of one route in a bundle of 1,700 services: parts and approval from the parent,
-// activation, parts and approval to 16 children.
+// BenchmarkRollout measures a change of one route in a bundle of 1,700 services: parts and approval arrive from the
+// parent, the bundle is activated, and parts and approval are sent to 16 children.
 func BenchmarkRollout(tb *testing.B) {
 	b := newBench(tb)
-	held := bundle.NewStore()
+	store := bundle.NewStore()
 	var base bundle.Digest
 	wholeBytes := 0
 	rollout := func(version int) {
@@ -154,15 +155,15 @@
 		parts, manifest, err := bundle.Split(bundleOf(version, benchServices))
 		Expect(err).NotTo(HaveOccurred())
 		whole := bundle.Update{Target: manifest.Digest(), Delta: bundle.Diff(bundle.Manifest{}, manifest), Parts: parts}
-		Expect(held.Add(whole)).To(Succeed())
-		update, err := held.Update(base, whole.Target)
+		Expect(store.Add(whole)).To(Succeed())
+		update, err := store.Update(base, whole.Target)
 		Expect(err).NotTo(HaveOccurred())
 		data, err := relay.Pack(update)
 		Expect(err).NotTo(HaveOccurred())
 		if base.IsZero() {
 			wholeBytes = len(data)
 		}
-		held.Retain(whole.Target)
+		store.Retain(whole.Target)
 		a := bundle.Approval{Version: uint64(version), Digest: whole.Target, Operator: "ana"}
 		a.Signature = signature(a)
 		tb.StartTimer()
@@ -181,7 +182,7 @@
 	tb.ReportMetric(float64(wholeBytes), "whole-B")
 }
 
-// BenchmarkJoin is the join of a node with empty memory that takes over the whole table.
+// BenchmarkJoin measures the join of a node that has just started and receives the whole table.
 func BenchmarkJoin(tb *testing.B) {
 	b := newBench(tb)
 	b.start(tb)
@@ -191,7 +192,7 @@
 	b.report(tb)
 }
 
-// BenchmarkTableMemory reports the heap that a table at the design scale takes.
+// BenchmarkTableMemory measures the heap use of a table at the design scale.
 func BenchmarkTableMemory(tb *testing.B) {
 	records := benchTable()
 	for range tb.N {
--- a/coordination/relay/export_test.go
+++ b/coordination/relay/export_test.go
@@ -1,4 +1,4 @@
 package relay
 
-// Pack is the encoding of large message content, for tests that compare sizes.
+// Pack exports pack for tests that compare encoded sizes.
 func Pack(value any) ([]byte, error) { return pack(value) }
--- a/coordination/relay/fault_test.go
+++ b/coordination/relay/fault_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// staleCountWindow is the time for which counts may include a node that has died: one silence limit per level.
+// staleCountWindow is the time for which counts may still include a node that has stopped: one link timeout per level.
 const staleCountWindow = 24 * time.Second
 
-// fault is one disturbance after a pause.
+// fault is one fault to inject after a pause. pause and length are in milliseconds, host is an index into sim.ids.
 type fault struct{ kind, host, pause, length int }
 
-// scheduleFaults disturbs a mesh until the scheduleFaults end.
+// scheduleFaults injects faults one after the other until next returns no more.
 func (s *sim) scheduleFaults(next func() (fault, bool)) {
 	f, more := next()
 	if !more {
@@ -28,6 +28,7 @@
 	})
 }
 
+// randomFaults returns a source of random faults that ends at a time.
 func (s *sim) randomFaults(until time.Duration) func() (fault, bool) {
 	return func() (fault, bool) {
 		f := fault{kind: s.rng.Intn(6), host: s.rng.Intn(len(s.ids)), pause: 100 + s.rng.Intn(1500), length: s.rng.Intn(10_000)}
@@ -64,19 +65,22 @@
 	s.schedule(s.now+pause, func() { s.start(h) })
 }
 
-// isolate cuts a host off silently. Only one host is cut off at a time.
+// isolate blocks all messages from and to a host for a time, without closing its links. Only one host is isolated at a
+// time.
 func (s *sim) isolate(h *host, duration time.Duration) {
 	s.blocked = func(a, b *host) bool { return a == h || b == h }
 	s.schedule(s.now+duration, func() { s.blocked = func(a, b *host) bool { return false } })
 }
 
+// heal ends all faults of the network and gives all members a quorum.
 func (s *sim) heal() {
 	s.blocked = func(a, b *host) bool { return false }
 	clear(s.withoutQuorum)
 	s.loss, s.duplicate, s.corrupt, s.omit = 0, 0, 0, 0
 }
 
-// faultyMesh returns a mesh of three zones, one without a member, that loses, repeats and corrupts messages.
+// faultyMesh returns a mesh of three zones, one of them without a member, whose links lose, repeat and corrupt
+// messages.
 func faultyMesh(seed int64, nodesPerZone int) *sim {
 	s := newSim(seed)
 	addMesh(s, 3, nodesPerZone, 2)
@@ -86,13 +90,15 @@
 	return s
 }
 
-// expectRecovery ends the faults and waits for a new version, equal tables and true counts.
+// expectRecovery ends the faults and checks that a new version comes into force, that the tables become equal and that
+// the counts become correct.
 func (s *sim) expectRecovery() {
 	s.heal()
 	last := s.approve(s.stage(bundleOf(1000, 12)))
 	inForce := s.await(15*time.Second, s.allInForce(last))
 	tables := s.await(60*time.Second, s.sameTables)
-	s.run(s.now + 100*time.Second) // A node that follows another zone returns within 45 s; then its counts are held.
+	// A node whose parent is in another zone finds one in its own zone within 45 s. Its counts are suppressed after that.
+	s.run(s.now + 100*time.Second)
 	s.checkTree(0)
 	Expect(s.hosts["m0"].peer.Status().Total.Versions).To(HaveLen(1))
 	Expect(s.hosts["m0"].peer.Status().Total.Versions[0].Nodes).To(Equal(len(s.nodes())))
@@ -100,10 +106,10 @@
 	GinkgoWriter.Println("in force after", inForce, "tables after further", tables, s.bytes)
 }
 
-// Guards against rollback, cycles, false counts and lasting divergence under combined faults.
+// Guards against rollbacks, cycles, wrong counts and tables that stay different after combined faults.
 var _ = Describe("Faults", func() {
 	for seed := range int64(12) {
-		It(fmt.Sprint("are survived, seed ", seed), func() {
+		It(fmt.Sprint("leave no wrong state behind, seed ", seed), func() {
 			s := faultyMesh(100+seed, 12)
 			s.scheduleFaults(s.randomFaults(60 * time.Second))
 			s.run(70 * time.Second)
@@ -111,8 +117,8 @@
 		})
 	}
 
-	// Rapid shrinks a schedule that fails.
-	It("are survived in generated schedules", func() {
+	// If a schedule fails, rapid reduces it to a smaller one that fails.
+	It("leave no wrong state behind in generated schedules", func() {
 		defer RegisterFailHandler(Fail)
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			RegisterFailHandler(func(message string, _ ...int) { t.Fatal(message) })
--- a/coordination/relay/references_internal_test.go
+++ b/coordination/relay/references_internal_test.go
@@ -7,7 +7,7 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-var _ = Describe("the check for dangling routes", func() {
+var _ = Describe("checkReferences", func() {
 	services := []bundle.Service{{Name: "desk"}, {Name: "desk-next"}}
 	split := func(second string) *bundle.Bundle {
 		return &bundle.Bundle{Services: services, Routes: []bundle.Route{{
@@ -15,10 +15,10 @@
 		}}}
 	}
 
-	// Guards against nodes that refuse a version because one of its routes is split over several services.
+	// Guards against nodes that refuse a version because one of its routes is split between several services.
 	It("accepts a split route", func() { Expect(checkReferences(split("desk-next"))).To(Succeed()) })
 
-	It("finds a part of a split that the bundle does not hold", func() {
+	It("rejects a split to a service that the bundle does not contain", func() {
 		Expect(checkReferences(split("gone"))).To(MatchError(ErrDangling))
 	})
 })
--- a/coordination/relay/scenario_test.go
+++ b/coordination/relay/scenario_test.go
@@ -16,7 +16,7 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// settledMesh returns a mesh with the first version in force everywhere.
+// settledMesh returns a mesh with the first version in force in all nodes, 30 s after it came into force.
 func settledMesh(seed int64, zones, nodesPerZone int, without ...int) *sim {
 	s := newSim(seed)
 	addMesh(s, zones, nodesPerZone, without...)
@@ -27,8 +27,8 @@
 	return s
 }
 
-// shortIntervals suits a deployment in which a version comes into force within 2 s also beside a member that has just been
-// cut off.
+// shortIntervals configures a deployment in which a version comes into force within 2 s even in nodes whose member has
+// just been cut off.
 func shortIntervals(c *relay.Config) {
 	c.PollInterval, c.StaleAfter = 400*time.Millisecond, 1200*time.Millisecond
 	c.HomeProbeInterval = 2 * time.Second
@@ -36,7 +36,7 @@
 	c.ZoneFollowers, c.RemoteFollowers = 32, 32
 }
 
-// fastMesh is a mesh of three zones with quickTimes.
+// fastMesh returns a mesh of three zones with shortIntervals.
 func fastMesh(seed int64) *sim {
 	s := newSim(seed)
 	addMesh(s, 3, 4)
@@ -54,7 +54,7 @@
 }
 
 var _ = Describe("Catch-up", func() {
-	// Guards against replaying missed versions one by one, or sending more than the whole bundle.
+	// Guards against sending missed versions one by one, or more bytes than the whole bundle has.
 	It("takes one message after 300 missed versions", func() {
 		s := settledMesh(3, 2, 6)
 		node := s.hosts["n1-005"]
@@ -83,8 +83,8 @@
 })
 
 var _ = Describe("Partition", func() {
-	// Guards against a member without a quorum keeping its zone on an old version.
-	It("leaves a member that is cut off, and returns to it", func() {
+	// Guards against a zone that stays on an old version because its member has no quorum.
+	It("makes nodes leave a member that is cut off, and return to it", func() {
 		s := settledMesh(4, 3, 5)
 		s.withoutQuorum["m1"] = true
 		s.blocked = func(a, b *host) bool { return a.member && b.member && (a.id == "m1" || b.id == "m1") }
@@ -102,8 +102,8 @@
 	})
 
 	// Guards against nodes that keep an old version for longer than 2 s because the member that they follow has just been
-	// cut off from the quorum, while they reach the other members.
-	It("leaves a member that is cut off within the time of a short limit", func() {
+	// cut off from the quorum, although they can reach the other members.
+	It("makes nodes leave a member that is cut off within 2 s if the intervals are short", func() {
 		for seed := range int64(10) {
 			s := fastMesh(seed)
 			s.run(30 * time.Second)
@@ -115,9 +115,9 @@
 		}
 	})
 
-	// Guards against nodes that return to their zone by following another node there although a member has room: such a
-	// node notices a member that was cut off later than others do.
-	It("follows members as long as they have room", func() {
+	// Guards against nodes that return to their zone and follow another node there although the member accepts children:
+	// such nodes notice later than the member's children that the member is cut off.
+	It("makes nodes follow members as long as these accept children", func() {
 		for seed := range int64(10) {
 			s := fastMesh(seed)
 			s.run(30 * time.Second)
@@ -134,9 +134,9 @@
 		}
 	})
 
-	// Guards against a deployment that starts all at once: its nodes find any member before the members know each other,
-	// and each would then fetch the first version over a link between zones.
-	It("follows the member of its zone as soon as the members are known", func() {
+	// Guards against many copies of the first version on links between zones after all processes started at once: nodes
+	// join any member before the members know each other, and each node would fetch the version from another zone.
+	It("makes nodes follow the member of their zone as soon as the members are known", func() {
 		for seed := range int64(10) {
 			s := newSim(seed)
 			var nodes []*host
@@ -175,9 +175,9 @@
 		}
 	})
 
-	// Guards against nodes that look for another parent while no member has a quorum, and then not again for seconds: after
-	// a split of the members, the greater half elects a leader a little later than the nodes notice.
-	It("finds the members that have a quorum again soon after they do", func() {
+	// Guards against nodes that search for another parent while no member has a quorum, and then not again for seconds:
+	// after a partition of the members, the majority elects a leader a little later than the nodes notice the partition.
+	It("makes nodes find the members that regain a quorum soon", func() {
 		for seed := range int64(10) {
 			s := fastMesh(seed)
 			s.run(30 * time.Second)
@@ -193,9 +193,9 @@
 		}
 	})
 
-	// Guards against an old version coming into force on a node that restarts beside a member without a quorum, and
-	// against live upstreams staying removed: other zones drop them while they are cut off, and remember the removal
-	// for ten minutes.
+	// Guards against an old version that comes into force in a node that restarts while its member has no quorum, and
+	// against live upstreams that stay removed: other zones remove their records while the zone is cut off, and remember
+	// the removal for ten minutes.
 	for _, length := range []time.Duration{3 * time.Minute, time.Hour} {
 		It(fmt.Sprint("gives a restarted node no version while its zone is cut off, and converges, after ", length), func() {
 			s := settledMesh(5, 3, 4)
@@ -222,8 +222,9 @@
 })
 
 var _ = Describe("Stop", func() {
-	// Guards against a stopped version spreading further, and against a rollback where it was applied.
-	It("keeps what each node holds, and gives the stopped version to empty nodes", func() {
+	// Guards against a stopped version that spreads to more running nodes, and against a rollback of nodes that have it in
+	// force.
+	It("changes no version in force, and gives the stopped version to nodes without a version", func() {
 		s := settledMesh(6, 1, 4)
 		late := s.hosts["n0-003"]
 		s.isolate(late, 8*time.Second)
@@ -252,8 +253,8 @@
 		return strings.Join(all, "; ")
 	}
 
-	// Guards against an invalid bundle being applied in part, and against one that blocks its successors.
-	It("refuses a bundle that fails as a whole and reports the reason", func() {
+	// Guards against an invalid bundle that is applied in part or that blocks later versions.
+	It("refuses an invalid bundle as a whole and reports the reason", func() {
 		s := settledMesh(7, 1, 3)
 		dangling := bundleOf(2, 20)
 		dangling.Routes[0].Service = "missing"
@@ -277,8 +278,8 @@
 		Expect(lagReasons(s)).To(ContainSubstring("validation: queue limit"))
 	})
 
-	// Guards the memory of a node against content that grows without bound when it is decompressed.
-	It("refuses content that decompresses to more than the bound", func() {
+	// Guards against compressed content that uses up a node's memory when it is decompressed.
+	It("refuses content that decompresses to more than the limit", func() {
 		s := settledMesh(15, 1, 1)
 		node := s.hosts["n0-000"]
 		data, err := relay.Pack(make([]byte, 64<<20))
@@ -289,7 +290,7 @@
 		Expect(node.peer.Status().Stats.CorruptMessages).To(BeNumerically("==", 1))
 	})
 
-	It("neither applies nor passes on an approval with a bad signature", func() {
+	It("neither applies nor forwards an approval with a bad signature", func() {
 		s := settledMesh(8, 1, 20)
 		s.approve(s.stage(bundleOf(2, 20)))
 		s.history[1].Approval.Signature[0] ^= 1
@@ -316,8 +317,8 @@
 		}
 	}
 
-	// Guards invariant late_drain_work: an upstream that drains gets no new work after 3 s.
-	It("spreads a draining upstream to all zones within 3 s on lossy links, once per link", func() {
+	// Guards the invariant late_drain_work: an upstream that drains gets no new calls after 3 s.
+	It("publishes a draining upstream to all zones within 3 s on lossy links, once per link", func() {
 		s := settledMesh(9, 4, 40)
 		s.loss = 0.05
 		node := s.hosts["n3-039"]
@@ -335,11 +336,12 @@
 		for link, count := range links {
 			Expect(count).To(BeNumerically("<=", 1), link)
 		}
-		Expect(len(links) / 2).To(Equal(4*40 + 3)) // the tree links, and those of the zone's member to the others
+		Expect(len(links) / 2).To(Equal(4*40 + 3)) // the links of the trees, and those of the zone's member to the others
 	})
 
-	// Guards against upstreams of dead racks and zones staying in the table: parents and children die together.
-	It("removes the nodes of a zone that fails as a whole, and takes them back", func() {
+	// Guards against upstreams that stay in the table after their rack or zone failed: parents and children fail together,
+	// so no parent notices the failure of its children.
+	It("removes the nodes of a zone that fails as a whole, and adds them again after their restart", func() {
 		s := settledMesh(10, 3, 30)
 		var failed []*host
 		for _, id := range s.ids {
@@ -359,7 +361,7 @@
 		GinkgoWriter.Println("zone back after", took)
 	})
 
-	It("hands a crash report to every node once, also to one that joins later", func() {
+	It("delivers a crash report to every node once, also to one that joins later", func() {
 		s := settledMesh(11, 3, 10)
 		seen := make(map[string]int)
 		s.onCrash = func(h *host, reports []relay.CrashReport) { seen[h.id] += len(reports) }
@@ -378,9 +380,9 @@
 })
 
 var _ = Describe("Zone links", func() {
-	// Guards the control bytes of a rollout. The content reaches the members in the replicated log, which costs one
-	// copy of the compressed change per zone with a member but the leader's; the relay adds one copy for each zone
-	// without a member. The limit of 1.2 is the target of section 1 of the design.
+	// Guards against a rollout that sends more bytes between zones than needed. The content reaches the members in the
+	// replicated log, which costs one copy of the compressed change for each zone with a member except the leader's; the
+	// relay adds one copy for each zone without a member. The design allows 1.2 times these bytes.
 	It("carry a change once per zone", func() {
 		const zones, withMember = 4, 3
 		s := settledMesh(12, zones, 30, 3)
@@ -407,7 +409,7 @@
 	})
 })
 
-// lossyPair returns a member and a node that are linked over a lossy link.
+// lossyPair returns a simulation of one member and one node. Segments between them are lost with the given probability.
 func lossyPair(seed int64, loss float64) *sim {
 	s := newSim(seed)
 	s.start(s.add("m0", "z0", true))
@@ -418,9 +420,10 @@
 }
 
 var _ = Describe("Failure detector", func() {
-	// Checks the rate that docs/distribution.md derives. A false alarm needs one poll or the end of a run of polls to
-	// be delayed by more than 3 s less the time since the poll before it: at least four losses in a row.
-	It("suspects a live node as rarely as derived", func() {
+	// Checks the rate of false alarms that docs/distribution.md derives. A false alarm needs a poll, or the last of
+	// several polls that are delayed together, to be delayed by more than 3 s minus the time since the poll before: at
+	// least four losses in a row.
+	It("suspects a live node no more often than derived from the rate of losses", func() {
 		const loss, polls = 0.2, 40_000
 		s := lossyPair(13, loss)
 		s.run(s.now + polls*time.Second)
@@ -438,7 +441,7 @@
 	})
 })
 
-// addMesh adds members and nodes: one member per zone unless the zone is named in without.
+// addMesh adds and starts nodes in a number of zones, and one member in each zone that is not listed in without.
 func addMesh(s *sim, zones, nodesPerZone int, without ...int) {
 	for z := range zones {
 		skip := false
@@ -461,7 +464,7 @@
 }
 
 var _ = Describe("Rollout", func() {
-	It("brings versions into force on all nodes and tables to equality", func() {
+	It("brings versions into force in all nodes and makes their tables equal", func() {
 		s := newSim(1)
 		addMesh(s, 3, 40)
 		first := s.approve(s.stage(bundleOf(1, 20)))
@@ -482,9 +485,9 @@
 	})
 })
 
-var _ = Describe("Herd", func() {
-	// Guards against a reconnect storm at the members after a zone loses power.
-	It("takes back 1,000 nodes of a zone with bounded joins at the members", func() {
+var _ = Describe("Mass restart", func() {
+	// Guards against a reconnect storm at the members after a zone lost power.
+	It("lets 1,000 nodes of a zone rejoin with a limited rate of joins at the members", func() {
 		s := newSim(2)
 		addMesh(s, 3, 4)
 		version := s.approve(s.stage(bundleOf(1, 50)))
@@ -512,7 +515,7 @@
 			depth = max(depth, h.peer.Status().Depth)
 		}
 		GinkgoWriter.Println("in force after", inForce, "tables after further", tables, "joins/s at members", perSecond, "depth", depth, s.bytes)
-		Expect(maxPerSecond).To(BeNumerically("<=", 32)) // burst and one second of the rate
+		Expect(maxPerSecond).To(BeNumerically("<=", 32)) // DefaultJoinBurst, and DefaultJoinsPerSecond for one second
 		Expect(inForce).To(BeNumerically("<=", 10*time.Second))
 		s.checkTree(0)
 	})
--- a/coordination/relay/sim_test.go
+++ b/coordination/relay/sim_test.go
@@ -24,7 +24,7 @@
 )
 
 func TestRelay(t *testing.T) {
-	// A fixed seed gives the same verdict in every run.
+	// A fixed seed makes every run generate the same cases.
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "30", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
 			t.Fatal(err)
@@ -44,7 +44,8 @@
 
 var errLinkLost = errors.New("link lost")
 
-// hashVerifier signs with a plain hash; the real keyring is not part of these tests.
+// hashVerifier accepts approvals whose signature is the plain hash that the function signature returns. It stands in
+// for the keyring.
 type hashVerifier struct{}
 
 func signature(a bundle.Approval) []byte {
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// event is something that happens at a virtual time.
+// event is an action at a virtual time. order is unique, so that events at the same time run in a fixed order.
 type event struct {
 	at    time.Duration
 	order int
@@ -80,29 +81,29 @@
 	return last
 }
 
-// host is one process, restarted under the same ID with empty memory.
+// host is one process. It can be stopped and restarted under the same ID with empty memory.
 type host struct {
 	id, zone      string
 	member        bool
 	join          []string
 	config        func(*relay.Config)
-	clockRate     float64 // of its clock
+	clockRate     float64 // rate of its clock relative to the virtual time
 	started       time.Duration
-	clockAtStart  time.Time // at the start of the process
+	clockAtStart  time.Time // its clock at the start of the process
 	alive         bool
 	peer          *relay.Peer
 	links         map[relay.LinkID]*conn
 	inbound       relay.LinkID
 	store         *bundle.Store
-	appliedSource int // history entries of a member
+	appliedSource int // identifies the state of the registry that a member was last given
 
 	inForce, highest uint64
 	firstInForce     map[uint64]time.Duration // first activation of a version
-	lastInForce      map[uint64]time.Duration // last time a version was in force
-	acceptedJoins    []time.Duration
+	lastInForce      map[uint64]time.Duration // time at which a version ceased to be in force
+	acceptedJoins    []time.Duration          // times at which it accepted a join
 }
 
-// conn is one direction of a link: messages arrive in order or the link ends.
+// conn is one direction of a link. Its messages arrive in order unless the link ends.
 type conn struct {
 	from, to    *host
 	fromStarted time.Duration
@@ -124,10 +125,10 @@
 	hosts         map[string]*host
 	ids           []string
 	epoch         time.Time
-	loss          float64 // of a segment; each loss delays the link by a growing retransmission timeout
-	duplicate     float64
-	corrupt       float64 // of Parts messages
-	omit          float64 // of Endpoints messages
+	loss          float64 // probability that a segment is lost, which delays the link by a growing retransmission timeout
+	duplicate     float64 // probability that a message arrives twice
+	corrupt       float64 // probability that a Parts message is corrupted
+	omit          float64 // probability that an Endpoints message is dropped
 	delay         func(a, b *host) time.Duration
 	blocked       func(a, b *host) bool
 	history       []relay.Approved
@@ -155,11 +156,13 @@
 	return s
 }
 
+// schedule lets an action run at a virtual time, but not in the past.
 func (s *sim) schedule(t time.Duration, run func()) {
 	s.scheduled++
 	heap.Push(&s.queue, event{at: max(t, s.now), order: s.scheduled, run: run})
 }
 
+// run executes the events up to a time and fails if an invariant was violated.
 func (s *sim) run(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		e := heap.Pop(&s.queue).(event)
@@ -170,7 +173,7 @@
 	Expect(violations).To(BeEmpty())
 }
 
-// await runs until a condition holds, fails if it does not within a limit, and returns the time taken.
+// await runs until a condition holds and returns the time that it took. It fails if that is longer than a limit.
 func (s *sim) await(limit time.Duration, done func() bool) time.Duration {
 	start := s.now
 	for s.now < start+limit && !done() {
@@ -180,6 +183,7 @@
 	return s.now - start
 }
 
+// add adds a host, which is not started yet, and lists it among the members if it is one.
 func (s *sim) add(id, zone string, member bool, join ...string) *host {
 	h := &host{
 		id: id, zone: zone, member: member, join: join, clockRate: 1 + 0.008*(2*s.rng.Float64()-1), config: func(*relay.Config) {},
@@ -193,10 +197,12 @@
 	return h
 }
 
+// localTime returns the time on a host's clock.
 func (s *sim) localTime(h *host) time.Time {
 	return h.clockAtStart.Add(time.Duration(float64(s.now-h.started) * h.clockRate))
 }
 
+// start starts the process of a host with empty memory and a new incarnation.
 func (s *sim) start(h *host) {
 	h.alive, h.started, h.inForce, h.appliedSource = true, s.now, 0, 0
 	h.clockAtStart = s.epoch.Add(time.Duration(s.rng.Intn(1000)) * time.Hour)
@@ -228,18 +234,18 @@
 	s.schedule(s.now+time.Duration(s.rng.Intn(50))*time.Millisecond, tick)
 }
 
-// updateSource gives a member what its registry holds, unless it is cut off from the quorum.
+// updateSource passes the state of the registry and a confirmation to a member, unless the member has no quorum.
 func (s *sim) updateSource(h *host) {
 	if s.withoutQuorum[h.id] {
 		return
 	}
 	if len(s.staged) > 0 {
-		held := make([]bundle.Digest, 0, len(s.staged))
+		digests := make([]bundle.Digest, 0, len(s.staged))
 		for _, update := range s.staged {
 			Expect(h.store.Add(update)).To(Succeed())
-			held = append(held, update.Target)
+			digests = append(digests, update.Target)
 		}
-		source := relay.Source{Bundles: held}
+		source := relay.Source{Bundles: digests}
 		if n := len(s.history); n > 0 {
 			source.Latest, source.Stopped = &s.history[n-1].Approval, s.history[n-1].Stopped
 		}
@@ -260,10 +266,11 @@
 	return conns
 }
 
+// kill stops the process of a host at once.
 func (s *sim) kill(h *host) {
 	h.alive = false
 	h.lastInForce[h.inForce] = s.now
-	reset := s.rng.Intn(2) == 0 // Otherwise the other sides notice only the silence.
+	reset := s.rng.Intn(2) == 0 // Otherwise the other sides are not told and only stop receiving messages.
 	for _, c := range h.sortedLinks() {
 		c.closed = true
 		if reset {
@@ -274,7 +281,7 @@
 	}
 }
 
-// breakLink ends a link; the other side is told.
+// breakLink ends a link and tells the other side.
 func (s *sim) breakLink(c *conn) {
 	c.closed = true
 	s.deliver(c, func() {
@@ -284,7 +291,7 @@
 	})
 }
 
-// deliver runs an action at the other side, after what was sent before. It waits while the hosts are cut off.
+// deliver runs an action at the other side of a link after everything that was sent before, delayed by lost segments.
 func (s *sim) deliver(c *conn, action func()) {
 	delay := s.delay(c.from, c.to)
 	for timeout := 200 * time.Millisecond; s.rng.Float64() < s.loss; timeout *= 2 {
@@ -295,7 +302,7 @@
 	s.schedule(c.lastArrival, func() { s.arrive(c) })
 }
 
-// arrive hands on the oldest message of a link.
+// arrive runs the oldest undelivered action of a link. While the hosts cannot reach each other, it tries again later.
 func (s *sim) arrive(c *conn) {
 	if c.reverse.closed || !c.to.alive || c.to.started != c.toStarted {
 		return
@@ -311,6 +318,7 @@
 	s.handleOutputs(c.to)
 }
 
+// handleOutputs carries out the outputs of a host's peer.
 func (s *sim) handleOutputs(h *host) {
 	for _, output := range h.peer.Outputs() {
 		switch o := output.(type) {
@@ -335,6 +343,7 @@
 	}
 }
 
+// activate checks that a bundle is the approved one and no older than the one in force, and puts it into force.
 func (s *sim) activate(h *host, o relay.Activate) {
 	Expect(o.Approval.Version).To(BeNumerically(">=", h.highest), "%s rolls back", h.id)
 	_, manifest, err := bundle.Split(o.Bundle)
@@ -369,6 +378,7 @@
 	return len(data)
 }
 
+// send transmits a message and applies the faults that were chosen for its kind.
 func (s *sim) send(c *conn, m relay.Message) {
 	data, err := cbor.Marshal(m)
 	Expect(err).NotTo(HaveOccurred())
@@ -401,10 +411,11 @@
 	}
 }
 
+// dial opens a link. If the target is blocked, nothing happens, as when packets are dropped.
 func (s *sim) dial(h *host, o relay.Dial) {
 	target, ok := s.hosts[o.Address]
-	life := h.started
-	current := func() bool { return h.alive && h.started == life }
+	started := h.started
+	current := func() bool { return h.alive && h.started == started }
 	s.schedule(s.now+2*s.delay(h, h), func() {
 		switch {
 		case !current() || ok && s.blocked(h, target):
@@ -415,8 +426,8 @@
 			return
 		}
 		target.inbound++
-		out := &conn{from: h, to: target, fromStarted: life, toStarted: target.started, fromLink: o.Link, toLink: target.inbound}
-		in := &conn{from: target, to: h, fromStarted: target.started, toStarted: life, fromLink: target.inbound, toLink: o.Link}
+		out := &conn{from: h, to: target, fromStarted: started, toStarted: target.started, fromLink: o.Link, toLink: target.inbound}
+		in := &conn{from: target, to: h, fromStarted: target.started, toStarted: started, fromLink: target.inbound, toLink: o.Link}
 		out.reverse, in.reverse = in, out
 		h.links[o.Link], target.links[target.inbound] = out, in
 		s.deliver(out, func() { target.peer.LinkUp(s.localTime(target), out.toLink, h.peer.Hello(), false) })
@@ -424,7 +435,7 @@
 	})
 }
 
-// bundleOf returns a bundle of which a version changes one route.
+// bundleOf returns a bundle in which the deadline of one route depends on the version.
 func bundleOf(version, services int) *bundle.Bundle {
 	b := &bundle.Bundle{}
 	for i := range services {
@@ -442,7 +453,7 @@
 	return b
 }
 
-// stage puts a bundle into the registry ahead of its approval.
+// stage adds a bundle to the registry before its approval.
 func (s *sim) stage(b *bundle.Bundle) bundle.Digest {
 	parts, manifest, err := bundle.Split(b)
 	Expect(err).NotTo(HaveOccurred())
@@ -451,6 +462,7 @@
 	return digest
 }
 
+// approve approves a bundle as the next version and returns the version.
 func (s *sim) approve(digest bundle.Digest) uint64 {
 	a := bundle.Approval{Version: uint64(len(s.history) + 1), Digest: digest, Operator: "ana"}
 	a.Signature = signature(a)
@@ -458,6 +470,7 @@
 	return a.Version
 }
 
+// nodes returns the live nodes.
 func (s *sim) nodes() []*host {
 	var nodes []*host
 	for _, id := range s.ids {
@@ -474,7 +487,7 @@
 	}
 }
 
-// sameTables reports whether all live peers have the table of the live nodes, with the given state.
+// sameTables reports whether the tables of all live peers list exactly the live nodes, in their present incarnations.
 func (s *sim) sameTables() bool {
 	nodes := s.nodes()
 	for _, id := range s.ids {
@@ -501,11 +514,12 @@
 	return true
 }
 
-// checkTree fails on a cycle of parents and on counts that claim more than the truth.
-func (s *sim) checkTree(hold time.Duration) {
+// checkTree fails if the links to parents form a cycle, or if a member counts more nodes with a version in force than
+// had it in force within the given time.
+func (s *sim) checkTree(within time.Duration) {
 	parents := make(map[string]string)
 	for _, h := range s.nodes() {
-		// A link to a process that has died and restarted is not followed: no message passes on it.
+		// Links to a former process of a restarted host are ignored, since they transfer no messages.
 		status := h.peer.Status()
 		parent, ok := s.hosts[status.Parent]
 		if ok && parent.alive && status.ParentIncarnation == uint64(parent.started)+1 {
@@ -522,20 +536,20 @@
 	for _, m := range s.members {
 		if h := s.hosts[m.ID]; h.alive {
 			for _, v := range h.peer.Status().Total.Versions {
-				Expect(v.Nodes).To(BeNumerically("<=", s.recentlyInForce(v.Version, hold)),
+				Expect(v.Nodes).To(BeNumerically("<=", s.recentlyInForce(v.Version, within)),
 					"%s counts version %d at %v", m.ID, v.Version, s.now)
 			}
 		}
 	}
 }
 
-// recentlyInForce counts the nodes that have a version in force, or had it within a time.
+// recentlyInForce counts the nodes that have a version in force or had it in force within the given time.
 func (s *sim) recentlyInForce(version uint64, within time.Duration) int {
 	count := 0
 	for _, id := range s.ids {
 		h := s.hosts[id]
-		last, held := h.lastInForce[version]
-		if !h.member && (h.alive && h.inForce == version || held && s.now-last <= within) {
+		last, known := h.lastInForce[version]
+		if !h.member && (h.alive && h.inForce == version || known && s.now-last <= within) {
 			count++
 		}
 	}
