--- a/coordination/relay/fault_test.go
+++ b/coordination/relay/fault_test.go
@@ -9,25 +9,26 @@
 	"pgregory.net/rapid"
 )
 
-// countWindow is the time for which counts may include a node that has died: one silence limit per level.
-const countWindow = 24 * time.Second
+// staleCountWindow is the time for which counts may still include a node that has stopped: one link timeout per level.
+const staleCountWindow = 24 * time.Second
 
-// fault is one disturbance after a pause.
+// fault is one fault to inject after a pause. pause and length are in milliseconds, host is an index into sim.ids.
 type fault struct{ kind, host, pause, length int }
 
-// faults disturbs a mesh until the faults end.
-func (s *sim) faults(next func() (fault, bool)) {
+// scheduleFaults injects faults one after the other until next returns no more.
+func (s *sim) scheduleFaults(next func() (fault, bool)) {
 	f, more := next()
 	if !more {
 		return
 	}
-	s.at(s.now+time.Duration(f.pause)*time.Millisecond, func() {
-		s.disturb(f)
-		s.checkTree(countWindow)
-		s.faults(next)
+	s.schedule(s.now+time.Duration(f.pause)*time.Millisecond, func() {
+		s.inject(f)
+		s.checkTree(staleCountWindow)
+		s.scheduleFaults(next)
 	})
 }
 
+// randomFaults returns a source of random faults that ends at a time.
 func (s *sim) randomFaults(until time.Duration) func() (fault, bool) {
 	return func() (fault, bool) {
 		f := fault{kind: s.rng.Intn(6), host: s.rng.Intn(len(s.ids)), pause: 100 + s.rng.Intn(1500), length: s.rng.Intn(10_000)}
@@ -35,24 +36,24 @@
 	}
 }
 
-func (s *sim) disturb(f fault) {
+func (s *sim) inject(f fault) {
 	h := s.hosts[s.ids[f.host]]
 	length := time.Duration(f.length) * time.Millisecond
 	switch f.kind {
 	case 0, 1:
 		s.restart(h, length/2)
 	case 2:
-		for _, c := range h.sorted() {
+		for _, c := range h.sortedLinks() {
 			s.breakLink(c)
 		}
 	case 3:
 		s.isolate(h, length)
 	case 4:
-		s.detached[h.id] = true
-		s.at(s.now+2*length, func() { delete(s.detached, h.id) })
+		s.withoutQuorum[h.id] = true
+		s.schedule(s.now+2*length, func() { delete(s.withoutQuorum, h.id) })
 	case 5:
 		digest := s.stage(bundleOf(len(s.staged)+1, 12))
-		s.at(s.now+length/10, func() { s.approve(digest) })
+		s.schedule(s.now+length/10, func() { s.approve(digest) })
 	}
 }
 
@@ -61,38 +62,43 @@
 		return
 	}
 	s.kill(h)
-	s.at(s.now+pause, func() { s.start(h) })
+	s.schedule(s.now+pause, func() { s.start(h) })
 }
 
-// isolate cuts a host off silently. Only one host is cut off at a time.
+// isolate blocks all messages from and to a host for a time, without closing its links. Only one host is isolated at a
+// time.
 func (s *sim) isolate(h *host, duration time.Duration) {
 	s.blocked = func(a, b *host) bool { return a == h || b == h }
-	s.at(s.now+duration, func() { s.blocked = func(a, b *host) bool { return false } })
+	s.schedule(s.now+duration, func() { s.blocked = func(a, b *host) bool { return false } })
 }
 
+// heal ends all faults of the network and gives all members a quorum.
 func (s *sim) heal() {
 	s.blocked = func(a, b *host) bool { return false }
-	clear(s.detached)
-	s.loss, s.dup, s.corrupt, s.omit = 0, 0, 0, 0
+	clear(s.withoutQuorum)
+	s.loss, s.duplicate, s.corrupt, s.omit = 0, 0, 0, 0
 }
 
-// faulty returns a mesh of three zones, one without a member, that loses, repeats and corrupts messages.
-func faulty(seed int64, nodesPerZone int) *sim {
+// faultyMesh returns a mesh of three zones, one of them without a member, whose links lose, repeat and corrupt
+// messages.
+func faultyMesh(seed int64, nodesPerZone int) *sim {
 	s := newSim(seed)
-	mesh(s, 3, nodesPerZone, 2)
+	addMesh(s, 3, nodesPerZone, 2)
 	s.approve(s.stage(bundleOf(1, 12)))
 	s.run(5 * time.Second)
-	s.loss, s.dup, s.corrupt, s.omit = 0.02, 0.02, 0.05, 0.05
+	s.loss, s.duplicate, s.corrupt, s.omit = 0.02, 0.02, 0.05, 0.05
 	return s
 }
 
-// expectRecovery ends the faults and waits for a new version, equal tables and true counts.
+// expectRecovery ends the faults and checks that a new version comes into force, that the tables become equal and that
+// the counts become correct.
 func (s *sim) expectRecovery() {
 	s.heal()
 	last := s.approve(s.stage(bundleOf(1000, 12)))
 	inForce := s.await(15*time.Second, s.allInForce(last))
 	tables := s.await(60*time.Second, s.sameTables)
-	s.run(s.now + 100*time.Second) // A node that follows another zone returns within 45 s; then its counts are held.
+	// A node whose parent is in another zone finds one in its own zone within 45 s. Its counts are suppressed after that.
+	s.run(s.now + 100*time.Second)
 	s.checkTree(0)
 	Expect(s.hosts["m0"].peer.Status().Total.Versions).To(HaveLen(1))
 	Expect(s.hosts["m0"].peer.Status().Total.Versions[0].Nodes).To(Equal(len(s.nodes())))
@@ -100,23 +106,23 @@
 	GinkgoWriter.Println("in force after", inForce, "tables after further", tables, s.bytes)
 }
 
-// Guards against rollback, cycles, false counts and lasting divergence under combined faults.
+// Guards against rollbacks, cycles, wrong counts and tables that stay different after combined faults.
 var _ = Describe("Faults", func() {
 	for seed := range int64(12) {
-		It(fmt.Sprint("are survived, seed ", seed), func() {
-			s := faulty(100+seed, 12)
-			s.faults(s.randomFaults(60 * time.Second))
+		It(fmt.Sprint("leave no wrong state behind, seed ", seed), func() {
+			s := faultyMesh(100+seed, 12)
+			s.scheduleFaults(s.randomFaults(60 * time.Second))
 			s.run(70 * time.Second)
 			s.expectRecovery()
 		})
 	}
 
-	// Rapid shrinks a schedule that fails.
-	It("are survived in generated schedules", func() {
+	// If a schedule fails, rapid reduces it to a smaller one that fails.
+	It("leave no wrong state behind in generated schedules", func() {
 		defer RegisterFailHandler(Fail)
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			RegisterFailHandler(func(message string, _ ...int) { t.Fatal(message) })
-			s := faulty(rapid.Int64().Draw(t, "seed"), 5)
+			s := faultyMesh(rapid.Int64().Draw(t, "seed"), 5)
 			schedule := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
 				return fault{
 					kind:   rapid.IntRange(0, 5).Draw(t, "kind"),
@@ -125,7 +131,7 @@
 					length: rapid.IntRange(0, 10_000).Draw(t, "length"),
 				}
 			}), 1, 30).Draw(t, "schedule")
-			s.faults(func() (fault, bool) {
+			s.scheduleFaults(func() (fault, bool) {
 				if len(schedule) == 0 {
 					return fault{}, false
 				}
