--- a/daemon/node.go
+++ b/daemon/node.go
@@ -79,7 +79,7 @@
 	watchSettings(ctx, file, logger, func() error {
 		changed, err := settings.LoadNode(file)
 		if err == nil {
-			process.SetJoin(changed.Join)
+			process.SetJoinAddresses(changed.Join)
 		}
 		return err
 	})
--- a/node/node.go
+++ b/node/node.go
@@ -41,9 +41,9 @@
 	Advertise string
 	// Members lists the mesh addresses of control members.
 	Members []string
-	// Join lists further mesh addresses by which the node can join the mesh.
-	Join []string
-	Keys relay.Verifier
+	// JoinAddresses lists further mesh addresses by which the node can join the mesh.
+	JoinAddresses []string
+	Keys          relay.Verifier
 	// Identity is this process's TLS identity for connections between processes; nil switches TLS off.
 	Identity *rpc.Identity
 	// ControlDialer, LedgerDialer and CallDialer open connections; nil dials TCP.
@@ -223,7 +223,7 @@
 	config.Zone = n.options.Zone
 	config.Address = n.options.Advertise
 	config.Incarnation = n.incarnation
-	config.JoinAddresses = append(append([]string{}, n.options.Members...), n.options.Join...)
+	config.JoinAddresses = append(append([]string{}, n.options.Members...), n.options.JoinAddresses...)
 	config.Keys = n.options.Keys
 	config.Validate = func(b *bundle.Bundle) error { return bundle.Validate(b).Err() }
 	config.Rand = rand.New(rand.NewSource(int64(n.incarnation)))
@@ -307,8 +307,8 @@
 	return n.executor.acceptAnnouncement(announcement)
 }
 
-// SetJoin replaces the addresses by which the node joins the mesh.
-func (n *Node) SetJoin(addresses []string) {
+// SetJoinAddresses replaces the addresses by which the node joins the mesh.
+func (n *Node) SetJoinAddresses(addresses []string) {
 	n.control.Post(func(time.Time) { n.peer.SetJoinAddresses(addresses) })
 }
 
