--- a/node/keyless_test.go
+++ b/node/keyless_test.go
@@ -17,7 +17,7 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// customDialect names other header fields than the default dialect, and has upstreams echo a request ID and a proof.
+// customDialect uses other header names than the default dialect. Upstreams echo the request ID and mark successes.
 var customDialect = protocol.Dialect{
 	Deadline: "X-Left-Ms", RequestID: "X-Request", CallerService: "X-From", ExpectUpstream: "X-For", SuccessMarker: "X-Proof",
 	NotRun: "X-Not-Run", FractionalRetryAfter: true,
@@ -114,7 +114,7 @@
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
-	// Guards against forwarding a successful response that lacks the upstream's proof or belongs to another request.
+	// Guards against forwarding a successful response that lacks the success marker or belongs to another request.
 	DescribeTable("does not forward a successful response that is not the upstream's response to it", func(change func(http.Header)) {
 		respondWith(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Request", r.Header.Get("X-Request"))
@@ -127,7 +127,7 @@
 		Expect(response.StatusCode).To(Equal(http.StatusBadGateway))
 		Expect(runs.Load()).To(Equal(int64(1)))
 	},
-		Entry("no proof", func(h http.Header) { h.Del("X-Proof") }),
+		Entry("no success marker", func(h http.Header) { h.Del("X-Proof") }),
 		Entry("another request ID", func(h http.Header) { h.Set("X-Request", "r0") }),
 		Entry("no request ID", func(h http.Header) { h.Del("X-Request") }),
 		Entry("a content encoding", func(h http.Header) { h.Set("Content-Encoding", "gzip") }),
