--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -60,7 +60,8 @@
 	Class bundle.Class
 	// Priority overrides the priority of the class: calls of priority 1 are served first; 0 takes that of the class.
 	Priority int
-	// Route names the estimate of the service time: calls of one route take about equally long.
+	// Route is the name of the call's route. The service time is estimated for each route, since calls of one route
+	// take about equally long.
 	Route string
 	// Deadline is the time by which the call must finish; zero if there is none.
 	Deadline time.Time
--- a/coordination/admission/rank.go
+++ b/coordination/admission/rank.go
@@ -8,7 +8,7 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// rankCount is the number of ranks: the priority of a call less one.
+// rankCount is the number of ranks. Calls of priority 1 have rank 0.
 const rankCount = bundle.MaxPriority
 
 // rankOf returns the rank of a call; rank 0 is served first. Unknown classes have the rank of reports.
@@ -107,7 +107,7 @@
 }
 
 // countAhead returns the number of waiting calls that are served before a new one. Calls that can no longer meet their
-// target are not: next passes them over.
+// target do not count for a call with a target, since next serves it before them.
 func (q *rankQueue) countAhead(c *call, now time.Time, expectedService func(*call, time.Time) time.Duration) int {
 	count := q.exclusive.Len()
 	for e := q.ordinary.Front(); e != nil; e = e.Next() {
--- a/coordination/balance/balance.go
+++ b/coordination/balance/balance.go
@@ -115,8 +115,8 @@
 // Request describes a call that needs an upstream.
 type Request struct {
 	Service string
-	// Route names the average of the service time, since calls of one route take about equally long; empty if the route
-	// is not known.
+	// Route is the name of the call's route; empty if it is not known. Service times are averaged for each route, since
+	// calls of one route take about equally long.
 	Route string
 	Zone  bundle.ZonePolicy
 	// Exclude lists the IDs of upstreams that were already tried. They are avoided while others are available.
--- a/protocol/call.go
+++ b/protocol/call.go
@@ -65,9 +65,10 @@
 
 // LoadReport is the load of an upstream as its executor counts it. Every reply carries one.
 type LoadReport struct {
-	InFlight      int   `cbor:"1,keyasint,omitempty"`
-	Queued        int   `cbor:"2,keyasint,omitempty"`
-	Slots         int   `cbor:"3,keyasint,omitempty"`
+	InFlight int `cbor:"1,keyasint,omitempty"`
+	Queued   int `cbor:"2,keyasint,omitempty"`
+	Slots    int `cbor:"3,keyasint,omitempty"`
+	// LatencyMicros is the mean service time in microseconds.
 	LatencyMicros int64 `cbor:"4,keyasint,omitempty"`
 }
 
@@ -80,7 +81,7 @@
 	// ContentLength is -1 if the length is not known in advance.
 	ContentLength int64      `cbor:"5,keyasint,omitempty"`
 	Load          LoadReport `cbor:"6,keyasint"`
-	// Suspect is set if the request was in flight when the upstream crashed. Such a request must not be retried.
+	// Suspect is set if the request was in flight when the upstream crashed. It must not be retried automatically.
 	Suspect bool `cbor:"8,keyasint,omitempty"`
 	// UpstreamTime is the time from sending the request to the upstream until its response was read; 0 if not known.
 	UpstreamTime time.Duration `cbor:"7,keyasint,omitempty"`
--- a/protocol/control.go
+++ b/protocol/control.go
@@ -36,7 +36,7 @@
 	ProposeNotLeader
 	// ProposeUncertain means that the command may still be committed. Commands are idempotent and can be sent again.
 	ProposeUncertain
-	// ProposeRefused means that the request cannot be decoded; nothing was proposed.
+	// ProposeRefused means that the request is malformed or its command is not allowed; nothing was proposed.
 	ProposeRefused
 )
 
--- a/protocol/operator/attempt.go
+++ b/protocol/operator/attempt.go
@@ -36,47 +36,47 @@
 	if err != nil {
 		return response, errors.Wrap(err, "operator: encode request")
 	}
-	e := apiRequest{client: c, method: http.MethodPost, path: path, body: body, timeout: timeout}
-	return response, e.run(ctx, &response)
+	r := apiRequest{client: c, method: http.MethodPost, path: path, body: body, timeout: timeout}
+	return response, r.run(ctx, &response)
 }
 
 // sendRead sends a request that changes nothing.
 func sendRead[R any](ctx context.Context, c *Client, path string) (R, error) {
 	var response R
-	e := apiRequest{client: c, method: http.MethodGet, path: path, timeout: c.config.AttemptTimeout}
-	return response, e.run(ctx, &response)
+	r := apiRequest{client: c, method: http.MethodGet, path: path, timeout: c.config.AttemptTimeout}
+	return response, r.run(ctx, &response)
 }
 
 // run tries all addresses in several rounds until one sends a definite response, and decodes it.
-func (e *apiRequest) run(ctx context.Context, response any) error {
-	wait := e.client.config.RetryWait
-	for round := range e.client.config.Rounds {
-		if round > 0 && !e.client.pause(ctx, wait) {
+func (r *apiRequest) run(ctx context.Context, response any) error {
+	wait := r.client.config.RetryWait
+	for round := range r.client.config.Rounds {
+		if round > 0 && !r.client.pause(ctx, wait) {
 			break
 		}
 		if round > 0 {
 			wait *= 2
 		}
-		if done, err := e.tryAddresses(ctx, response); done {
+		if done, err := r.tryAddresses(ctx, response); done {
 			return err
 		}
 	}
-	return e.finalError(ctx)
+	return r.finalError(ctx)
 }
 
 // tryAddresses tries each address once, and the leaders that responses name. done is set after a definite response.
-func (e *apiRequest) tryAddresses(ctx context.Context, response any) (done bool, err error) {
-	queue := e.client.addressesInOrder()
+func (r *apiRequest) tryAddresses(ctx context.Context, response any) (done bool, err error) {
+	queue := r.client.addressesInOrder()
 	redirects := 0
 	for len(queue) > 0 && ctx.Err() == nil {
 		address := queue[0]
 		queue = queue[1:]
-		err := e.attempt(ctx, address, response)
+		err := r.attempt(ctx, address, response)
 		if err == nil || !retryable(err) {
-			e.client.prefer(address)
+			r.client.prefer(address)
 			return true, err
 		}
-		e.recordFailure(address, err)
+		r.recordFailure(address, err)
 		if leader := leaderOf(err); leader != "" && leader != address && redirects < maxLeaderRedirects {
 			redirects++
 			queue = slices.DeleteFunc(queue, func(other string) bool { return other == leader })
@@ -104,31 +104,31 @@
 }
 
 // recordFailure records a retryable error of an attempt.
-func (e *apiRequest) recordFailure(address string, err error) {
-	if e.method == http.MethodPost && errors.IsAny(err, ErrOutcomeUnknown, ErrInternal) {
-		e.maybeApplied = true
+func (r *apiRequest) recordFailure(address string, err error) {
+	if r.method == http.MethodPost && errors.IsAny(err, ErrOutcomeUnknown, ErrInternal) {
+		r.maybeApplied = true
 	}
 	// The error in a response is more informative than a failure to connect to another address.
-	if e.lastError == nil || !errors.Is(err, ErrUnreachable) || errors.Is(e.lastError, ErrUnreachable) {
-		e.lastError = errors.Wrapf(err, "%s", address)
+	if r.lastError == nil || !errors.Is(err, ErrUnreachable) || errors.Is(r.lastError, ErrUnreachable) {
+		r.lastError = errors.Wrapf(err, "%s", address)
 	}
 }
 
 // finalError returns the error of the request after its last attempt.
-func (e *apiRequest) finalError(ctx context.Context) error {
+func (r *apiRequest) finalError(ctx context.Context) error {
 	message := "no attempt was made"
-	if e.lastError != nil {
-		message = e.lastError.Error()
+	if r.lastError != nil {
+		message = r.lastError.Error()
 	}
 	if ctx.Err() != nil {
 		message = fmt.Sprintf("%v; last attempt: %s", ctx.Err(), message)
 	}
 	switch {
-	case e.maybeApplied:
+	case r.maybeApplied:
 		return &Error{Kind: ErrOutcomeUnknown, Message: message}
-	case errors.Is(e.lastError, ErrInternal):
+	case errors.Is(r.lastError, ErrInternal):
 		return &Error{Kind: ErrInternal, Message: message}
-	case errors.IsAny(e.lastError, ErrNoQuorum, ErrNotLeader):
+	case errors.IsAny(r.lastError, ErrNoQuorum, ErrNotLeader):
 		return &Error{Kind: ErrNoQuorum, Message: message}
 	default:
 		return &Error{Kind: ErrUnreachable, Message: message}
@@ -136,11 +136,11 @@
 }
 
 // attempt sends the request to one address and decodes the response.
-func (e *apiRequest) attempt(ctx context.Context, address string, response any) error {
-	ctx, cancel := context.WithTimeout(ctx, e.timeout)
+func (r *apiRequest) attempt(ctx context.Context, address string, response any) error {
+	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
-	url := e.client.scheme + "://" + address + e.path
-	request, err := http.NewRequestWithContext(ctx, e.method, url, bytes.NewReader(e.body))
+	url := r.client.scheme + "://" + address + r.path
+	request, err := http.NewRequestWithContext(ctx, r.method, url, bytes.NewReader(r.body))
 	if err != nil {
 		return &Error{Kind: ErrUnreachable, Message: err.Error()}
 	}
@@ -149,31 +149,31 @@
 	request = request.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	}))
-	httpResponse, err := e.client.config.HTTP.Do(request)
+	httpResponse, err := r.client.config.HTTP.Do(request)
 	if err != nil && !connected.Load() {
 		// Nothing was sent without a connection, as after a refused dial or a failed TLS handshake.
 		return &Error{Kind: ErrUnreachable, Message: err.Error()}
 	}
 	if err != nil {
-		return e.lostResponse(err.Error())
+		return r.lostResponse(err.Error())
 	}
 	defer httpResponse.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes+1))
 	if err != nil || len(data) > maxResponseBytes {
-		return e.lostResponse(fmt.Sprintf("response of %d bytes is incomplete: %v", len(data), err))
+		return r.lostResponse(fmt.Sprintf("response of %d bytes is incomplete: %v", len(data), err))
 	}
 	if httpResponse.StatusCode != http.StatusOK {
 		return responseError(httpResponse.StatusCode, data)
 	}
 	if err := json.Unmarshal(data, response); err != nil {
-		return e.lostResponse(fmt.Sprintf("response cannot be decoded: %v", err))
+		return r.lostResponse(fmt.Sprintf("response cannot be decoded: %v", err))
 	}
 	return nil
 }
 
 // lostResponse returns the error of an attempt without a usable response. A change may nevertheless have taken effect.
-func (e *apiRequest) lostResponse(message string) error {
-	if e.method == http.MethodPost {
+func (r *apiRequest) lostResponse(message string) error {
+	if r.method == http.MethodPost {
 		return &Error{Kind: ErrOutcomeUnknown, Message: message}
 	}
 	return &Error{Kind: ErrUnreachable, Message: message}
--- a/protocol/operator/client.go
+++ b/protocol/operator/client.go
@@ -16,6 +16,7 @@
 	"github.com/cockroachdb/errors"
 )
 
+// Defaults of ClientConfig and limits of a Client.
 const (
 	// DefaultAttemptTimeout is long enough for an election, which takes about 1 s.
 	DefaultAttemptTimeout = 5 * time.Second
