--- a/coordination/detector/detector_test.go
+++ b/coordination/detector/detector_test.go
@@ -66,7 +66,7 @@
 
 var _ = Describe("Detector", func() {
 	// Guards against sending calls to an instance that lost power: each would wait until its deadline.
-	It("finds a failure within 0.8 s and the recovery within 0.4 s", func() {
+	It("detects a failure within 0.8 s and the recovery within 0.4 s", func() {
 		_, failed, recovered := simulate(10*time.Second, 20*time.Millisecond, 50*time.Millisecond, func(at time.Duration) bool {
 			return at >= 3*time.Second && at < 5*time.Second
 		})
--- a/coordination/endpoints/record.go
+++ b/coordination/endpoints/record.go
@@ -1,6 +1,6 @@
 // Package endpoints holds the table of announced upstreams. Records are spread through the distribution tree. Of two
-// records of one upstream the one with the greater (incarnation, sequence) wins, so tables that received the same records
-// are equal whatever the order of arrival. The package reads no clock: the caller supplies the time.
+// records of one upstream the one with the greater (incarnation, sequence) wins, so tables that received the same
+// records are equal whatever the order of arrival. The package reads no clock: the caller supplies the time.
 package endpoints
 
 import (
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -46,8 +46,8 @@
 	c.byAddress[candidate.Address] = candidate
 }
 
-// eligible lists the candidates whose last announcement is still valid and whose address is not in use by a member.
-// Candidates in the zones with the fewest members come first. Expired announcements are deleted.
+// eligible lists the candidates that may be added: their last announcement is still valid, and they are neither members
+// nor superseded by one. Candidates in the zones with the fewest members come first. Expired announcements are deleted.
 func (c *Candidates) eligible(now time.Time, status raft.Status) []Candidate {
 	members := make(map[string]int)
 	for _, member := range status.Membership.Members {
@@ -115,17 +115,17 @@
 // replaceableVoters lists the voters that should be replaced. First come those whose address is now used by another ID,
 // which proves that their disk was lost, then those without contact for longer than ReplaceAfter.
 func replaceableVoters(status raft.Status, joining []Candidate) []raft.MemberID {
-	var wiped, silent []raft.MemberID
+	var addressReused, unreachable []raft.MemberID
 	for _, member := range status.Membership.Members {
 		switch {
 		case member.Learner || member.ID == status.ID:
 		case addressTakenByCandidate(member, joining) || addressTakenByMember(member, status):
-			wiped = append(wiped, member.ID)
+			addressReused = append(addressReused, member.ID)
 		case status.Progress[member.ID].Silence > ReplaceAfter:
-			silent = append(silent, member.ID)
+			unreachable = append(unreachable, member.ID)
 		}
 	}
-	return append(wiped, silent...)
+	return append(addressReused, unreachable...)
 }
 
 // addressTakenByCandidate reports whether a candidate with another ID announces the member's address as its own.
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -191,7 +191,7 @@
 	})
 
 	// Guards against replacing a member that only restarts: the copy of the state that it holds would be lost.
-	It("keeps a silent member while no process asks to join, and replaces it by one that does", func() {
+	It("keeps an unreachable member while no process asks to join, and replaces it by one that does", func() {
 		g := newGroup(voters)
 		g.processes[2].alive = false
 		Expect(g.settle()).To(BeZero())
--- a/coordination/relay/bundles.go
+++ b/coordination/relay/bundles.go
@@ -79,7 +79,7 @@
 	return s.inForce.Version
 }
 
-// recentlyActive lists the bundles that are about to come into force, that is in force and that was in force before.
+// recentlyActive lists the bundles that are about to come into force, the one in force, and the one before it.
 func (s *bundleState) recentlyActive() []bundle.Digest {
 	var digests []bundle.Digest
 	for _, a := range s.pending {
--- a/coordination/relay/config.go
+++ b/coordination/relay/config.go
@@ -23,7 +23,7 @@
 	Verify(a bundle.Approval) error
 }
 
-// Config configures a Peer. Fields that are 0 take their defaults.
+// Config configures a Peer. Limits, rates and durations that are 0 take their defaults.
 type Config struct {
 	ID      string
 	Zone    string
--- a/coordination/relay/members.go
+++ b/coordination/relay/members.go
@@ -145,12 +145,14 @@
 // the node would have announced another parent if it were alive.
 func (p *Peer) isOrphaned(r endpoints.Record, updated time.Time) bool {
 	if r.Parent == p.config.ID {
+		// The node was a child of this peer before the peer restarted.
 		return p.now.Sub(updated) >= memberLossTimeout && p.now.Sub(p.started) >= memberLossTimeout
 	}
 	if !p.config.Member {
 		return false
 	}
 	if since, ok := p.unlinkedSince[r.Parent]; ok {
+		// The parent is a member to which there is no link.
 		return p.now.Sub(since) >= memberLossTimeout && updated.Before(since)
 	}
 	if p.isMember(r.Parent) {
@@ -158,6 +160,7 @@
 	}
 	parent, ok := p.propagation.table.Get(r.Parent)
 	if !ok {
+		// The record of the parent was removed, or has not arrived since the start of this process.
 		return p.now.Sub(updated) >= endpoints.RemoveAfter && p.now.Sub(p.started) >= endpoints.RemoveAfter
 	}
 	suspected, _ := p.propagation.table.UpdatedAt(r.Parent)
--- a/coordination/relay/poll.go
+++ b/coordination/relay/poll.go
@@ -48,7 +48,7 @@
 }
 
 // updateFreshness processes the freshness in the parent's reply to a request that was sent at the given time. Its age
-// is counted from that time, since the reply was made later.
+// is counted from that time, which gives an upper bound, since the parent replied later.
 func (p *Peer) updateFreshness(sent time.Time, f Freshness) {
 	p.freshness.depth = f.Depth + 1
 	if !f.Confirmed || f.AgeMs < 0 {
@@ -68,7 +68,8 @@
 	return p.config.StaleAfter + time.Duration(max(0, p.freshness.depth-1))*p.config.StaleAfter/2
 }
 
-// hasStaleParent reports whether the confirmation that came from the parent is missing or too old.
+// hasStaleParent reports whether there is no confirmation or only one older than staleLimit, although the link to the
+// parent has been open for staleLimit.
 func (p *Peer) hasStaleParent() bool {
 	if p.parent == nil || p.now.Sub(p.parent.openedAt) < p.staleLimit() {
 		return false
--- a/coordination/relay/propagation.go
+++ b/coordination/relay/propagation.go
@@ -273,10 +273,10 @@
 		p.sendRecords(l, table.All(), allBuckets())
 		return
 	}
-	sums := table.BucketDigests()
-	data := make([]byte, 0, 8*len(sums))
-	for _, sum := range sums {
-		data = binary.LittleEndian.AppendUint64(data, sum)
+	digests := table.BucketDigests()
+	data := make([]byte, 0, 8*len(digests))
+	for _, digest := range digests {
+		data = binary.LittleEndian.AppendUint64(data, digest)
 	}
 	p.send(l, Message{Compare: &Compare{BucketDigests: data}})
 }
@@ -295,19 +295,19 @@
 		p.stats.CorruptMessages++
 		return
 	}
-	sums := make([]uint64, endpoints.BucketCount)
-	for i := range sums {
-		sums[i] = binary.LittleEndian.Uint64(c.BucketDigests[8*i:])
+	digests := make([]uint64, endpoints.BucketCount)
+	for i := range digests {
+		digests[i] = binary.LittleEndian.Uint64(c.BucketDigests[8*i:])
 	}
-	marked, _ := p.propagation.table.DifferingBuckets(sums)
+	differing, _ := p.propagation.table.DifferingBuckets(digests)
 	var buckets []uint8
-	for i, differs := range marked {
+	for i, differs := range differing {
 		if differs {
 			buckets = append(buckets, uint8(i))
 		}
 	}
 	if len(buckets) > 0 {
-		p.sendRecords(l, p.propagation.table.InBuckets(&marked), buckets)
+		p.sendRecords(l, p.propagation.table.InBuckets(&differing), buckets)
 	}
 }
 
@@ -321,13 +321,13 @@
 func (p *Peer) suspectFormerChildren() {
 	s := &p.propagation
 	for _, id := range slices.Sorted(maps.Keys(s.formerChildren)) {
-		w := s.formerChildren[id]
-		if p.now.Sub(w.lastReceived) < endpoints.SuspectAfter {
+		child := s.formerChildren[id]
+		if p.now.Sub(child.lastReceived) < endpoints.SuspectAfter {
 			continue
 		}
 		delete(s.formerChildren, id)
 		r, ok := s.table.Get(id)
-		if ok && r.Incarnation == w.incarnation && r.Parent == p.config.ID {
+		if ok && r.Incarnation == child.incarnation && r.Parent == p.config.ID {
 			p.suspect(id)
 		}
 	}
--- a/coordination/relay/scenario_test.go
+++ b/coordination/relay/scenario_test.go
@@ -103,7 +103,7 @@
 
 	// Guards against nodes that keep an old version for longer than 2 s because the member that they follow has just been
 	// cut off from the quorum, although they can reach the other members.
-	It("makes nodes leave a member that is cut off within 2 s if the intervals are short", func() {
+	It("brings a version into force within 2 s after a member was cut off if the intervals are short", func() {
 		for seed := range int64(10) {
 			s := fastMesh(seed)
 			s.run(30 * time.Second)
@@ -294,16 +294,16 @@
 		s := settledMesh(8, 1, 20)
 		s.approve(s.stage(bundleOf(2, 20)))
 		s.history[1].Approval.Signature[0] ^= 1
-		received := make(map[string]bool)
+		senders := make(map[string]bool)
 		s.onSend = func(from, _ *host, m relay.Message) {
 			if m.Approved != nil {
-				received[from.id] = true
+				senders[from.id] = true
 			}
 		}
 		s.run(s.now + 3*time.Second)
 		Expect(s.allInForce(1)()).To(BeTrue())
 		Expect(lagReasons(s)).To(ContainSubstring("bad signature"))
-		Expect(received).To(Equal(map[string]bool{"m0": true}))
+		Expect(senders).To(Equal(map[string]bool{"m0": true}))
 	})
 })
 
