--- a/coordination/relay/bundles.go
+++ b/coordination/relay/bundles.go
@@ -43,9 +43,9 @@
 	// registryBundles holds the bundles of the last SetSource of a member; nil before the first.
 	registryBundles map[bundle.Digest]bool
 
-	// fetchTarget is the bundle that was fetched last. It is not fetched again before nextFetch.
-	fetchTarget bundle.Digest
+	// nextFetch is the earliest time at which fetchTarget, the bundle that was fetched last, is fetched again.
 	nextFetch   time.Time
+	fetchTarget bundle.Digest
 	packed      map[packedKey][]byte
 
 	// refusedDigest is the bundle that was refused last.
