--- a/control/automembership_test.go
+++ b/control/automembership_test.go
@@ -60,7 +60,7 @@
 		founders = nil
 	}
 	m, err := control.New(control.Options{
-		Zone: "a", Mesh: listenAt(g.addresses[i]), Admin: listenAt("127.0.0.1:0"), Founders: founders,
+		Zone: "a", MeshListener: listenAt(g.addresses[i]), AdminListener: listenAt("127.0.0.1:0"), Founders: founders,
 		RegistryFolder: disk.NewFake(rand.New(rand.NewSource(int64(i)))), Keys: bundle.NewKeyring(nil).Trust("ops"),
 		Voters: 5, Seeds: func() []string { return g.addresses[:3] },
 		ElectionTimeout: 300 * time.Millisecond, HeartbeatInterval: 50 * time.Millisecond,
--- a/control/member.go
+++ b/control/member.go
@@ -35,9 +35,9 @@
 	// Instance is the name of the instance in logs and dumps.
 	Instance string
 	Zone     string
-	// Mesh listens for nodes and other members, Admin for operators. The member closes both.
-	Mesh  net.Listener
-	Admin net.Listener
+	// MeshListener listens for nodes and other members, Admin for operators. The member closes both.
+	MeshListener  net.Listener
+	AdminListener net.Listener
 	// Advertise and AdvertiseAdmin are the addresses under which others reach Mesh and Admin. If they are empty, the
 	// addresses of the listeners are used.
 	Advertise      string
@@ -130,10 +130,10 @@
 		options.SnapshotEntries = defaultSnapshotEntries
 	}
 	if options.Advertise == "" {
-		options.Advertise = options.Mesh.Addr().String()
+		options.Advertise = options.MeshListener.Addr().String()
 	}
 	if options.AdvertiseAdmin == "" {
-		options.AdvertiseAdmin = options.Admin.Addr().String()
+		options.AdvertiseAdmin = options.AdminListener.Addr().String()
 	}
 	m := &Member{
 		options: options, logger: logging.Part(options.Logger, "control"), ready: make(chan struct{}),
@@ -161,7 +161,7 @@
 	}
 	m.pool = rpc.NewPool(m.options.Dialer, transport)
 	m.ledgerPool = rpc.NewPool(m.options.LedgerDialer, transport)
-	m.mesh = rpc.NewServer(m.options.Mesh, transport)
+	m.mesh = rpc.NewServer(m.options.MeshListener, transport)
 }
 
 // openReplicas creates the replicas and reads their folders.
@@ -230,10 +230,10 @@
 // serveAdmin serves operators. With TLS, they need a certificate of an accepted authority.
 func (m *Member) serveAdmin() error {
 	if m.options.Identity == nil {
-		return m.admin.Serve(m.options.Admin)
+		return m.admin.Serve(m.options.AdminListener)
 	}
 	m.admin.TLSConfig = m.options.Identity.ServerConfig("h2", "http/1.1")
-	return m.admin.ServeTLS(m.options.Admin, "", "")
+	return m.admin.ServeTLS(m.options.AdminListener, "", "")
 }
 
 // run forms or rejoins the groups and then becomes the control goroutine.
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	options.Mesh, options.Admin = listeners[0], listeners[1]
+	options.MeshListener, options.AdminListener = listeners[0], listeners[1]
 	var seeds atomic.Pointer[[]string]
 	seeds.Store(&loaded.Join)
 	options.Seeds = func() []string { return *seeds.Load() }
--- a/local/processes.go
+++ b/local/processes.go
@@ -68,7 +68,7 @@
 		return err
 	}
 	member, err := control.New(control.Options{
-		Instance: id, Zone: slot.spec.Zone, Mesh: listeners[0], Admin: listeners[1], Founders: founders,
+		Instance: id, Zone: slot.spec.Zone, MeshListener: listeners[0], AdminListener: listeners[1], Founders: founders,
 		RegistryFolder: registryFolder, LedgerFolders: []disk.FS{ledgerFolder}, Keys: d.keyring,
 		Dialer:       d.dialer(slot.spec.Zone, id, shape.KindControl),
 		LedgerDialer: d.dialer(slot.spec.Zone, id, kindLedger),
