--- a/control/admin.go
+++ b/control/admin.go
@@ -76,10 +76,10 @@
 		if age, ok := m.replicas[registryGroup].raft.ConfirmedAge(now); ok {
 			dump.ConfirmedAgeMs = age.Milliseconds()
 		}
-		state := m.registry.registry.State()
+		state := m.registryState.registry.State()
 		dump.Latest, dump.Stopped = state.Latest, state.Stopped
-		dump.Staged = m.registry.registry.Staged()
-		for _, l := range m.ledgers {
+		dump.Staged = m.registryState.registry.Staged()
+		for _, l := range m.ledgerStates {
 			dump.LedgerKeys += l.ledger.Len()
 		}
 		dump.Relay = m.peer.Status()
--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -87,12 +87,12 @@
 				complete = false
 				continue
 			}
-			reported := reply.Groups[r.group]
-			if reported.Formed && reported.InitialMembership != nil {
-				return *reported.InitialMembership, false, true
+			identity := reply.Groups[r.group]
+			if identity.Formed && identity.InitialMembership != nil {
+				return *identity.InitialMembership, false, true
 			}
-			exists = exists || reported.Formed
-			id = raft.MemberID(reported.ID)
+			exists = exists || identity.Formed
+			id = raft.MemberID(identity.ID)
 			founder.Zone = cmp.Or(founder.Zone, reply.Zone)
 		}
 		founder.Zone = cmp.Or(founder.Zone, m.options.Zone)
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -140,35 +140,35 @@
 	// Guards against a member that is cut off and still reports its state as current or accepts approvals.
 	DescribeTable("reports its state as outdated without a quorum", func(leads bool) {
 		g := formGroup("b", "c", "a")
-		left, followers := g.leader()
+		survivor, followers := g.leader()
 		lost := followers
 		if !leads {
-			left, lost = followers[0], []string{left, followers[1]}
+			survivor, lost = followers[0], []string{survivor, followers[1]}
 		}
-		Eventually(func() bool { return g.dump(left).Relay.Confirmed }, eventuallyTimeout).Should(BeTrue())
+		Eventually(func() bool { return g.dump(survivor).Relay.Confirmed }, eventuallyTimeout).Should(BeTrue())
 		rollout := func() operator.RolloutState {
-			status, _ := g.client(left, 1).Status(context.Background())
+			status, _ := g.client(survivor, 1).Status(context.Background())
 			return status.Rollout
 		}
 		Eventually(rollout, eventuallyTimeout).Should(Equal(operator.RolloutNone))
 		g.kill(lost...)
 		for range 2 {
-			before := g.dump(left)
+			before := g.dump(survivor)
 			Eventually(func(check Gomega) {
-				now := g.dump(left)
+				now := g.dump(survivor)
 				check.Expect(now.ConfirmedAgeMs).To(BeNumerically(">", before.ConfirmedAgeMs))
 				check.Expect(now.Relay.Age).To(BeNumerically(">", before.Relay.Age))
 			}, eventuallyTimeout).Should(Succeed())
 		}
-		g.expectNoApproval(left, 2)
+		g.expectNoApproval(survivor, 2)
 		// A member that starts without a quorum cannot know the current state.
-		g.kill(left)
-		g.start(left)
+		g.kill(survivor)
+		g.start(survivor)
 		Eventually(rollout, eventuallyTimeout).Should(Equal(operator.RolloutUnknown))
-		Expect(g.dump(left).Relay.Confirmed).To(BeFalse())
+		Expect(g.dump(survivor).Relay.Confirmed).To(BeFalse())
 		if leads {
 			g.start(lost...)
-			g.approve(left, 3, config("desk-three"))
+			g.approve(survivor, 3, config("desk-three"))
 		}
 	},
 		Entry("as the former leader", true),
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -82,8 +82,8 @@
 	g := newGroup()
 	g.start(order[:2]...)
 	// The identity of the third founder is not known yet, so that the first two must not form a group.
-	_, early := g.Leader()
-	Expect(early).To(BeFalse())
+	_, formed := g.Leader()
+	Expect(formed).To(BeFalse())
 	g.start(order[2])
 	g.leader()
 	var first []string
--- a/control/latestbundle.go
+++ b/control/latestbundle.go
@@ -62,9 +62,9 @@
 			if fresh = confirmed && age < maxReadConfirmationAge; !fresh {
 				return
 			}
-			if approval := m.registry.registry.State().Latest; approval != nil {
+			if approval := m.registryState.registry.State().Latest; approval != nil {
 				version = approval.Version
-				latest, readErr = m.registry.registry.Store().Bundle(approval.Digest)
+				latest, readErr = m.registryState.registry.Store().Bundle(approval.Digest)
 			}
 		})
 		switch {
--- a/control/member.go
+++ b/control/member.go
@@ -91,13 +91,13 @@
 	logger  zerolog.Logger
 	metrics *metrics
 
-	host       *mesh.Host
-	peer       *relay.Peer
-	pool       *rpc.Pool
-	ledgerPool *rpc.Pool
-	mesh       *rpc.Server
-	admin      *http.Server
-	quarantine *quarantine.List
+	host        *mesh.Host
+	peer        *relay.Peer
+	pool        *rpc.Pool
+	ledgerPool  *rpc.Pool
+	meshServer  *rpc.Server
+	adminServer *http.Server
+	quarantine  *quarantine.List
 
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -114,9 +114,9 @@
 	initialMemberships map[uint32]raft.Membership
 
 	// replicas is indexed by group. Only the control goroutine uses the content of the replicas.
-	replicas []*replica
-	registry *registryStateMachine
-	ledgers  []*ledgerStateMachine
+	replicas      []*replica
+	registryState *registryStateMachine
+	ledgerStates  []*ledgerStateMachine
 	// candidates lists the processes that ask to join. Only the control goroutine uses it.
 	candidates membership.Candidates
 	// removed is closed once this member has learned that the group removed its identity.
@@ -147,8 +147,8 @@
 		m.cancel()
 		return nil, err
 	}
-	m.admin = &http.Server{Handler: m.adminHandler(), ReadHeaderTimeout: readHeaderTimeout}
-	m.mesh.ServeMember(m)
+	m.adminServer = &http.Server{Handler: m.adminHandler(), ReadHeaderTimeout: readHeaderTimeout}
+	m.meshServer.ServeMember(m)
 	m.tasks.Go(func() { m.run(recovered) })
 	return m, nil
 }
@@ -161,19 +161,19 @@
 	}
 	m.pool = rpc.NewPool(m.options.Dialer, transport)
 	m.ledgerPool = rpc.NewPool(m.options.LedgerDialer, transport)
-	m.mesh = rpc.NewServer(m.options.MeshListener, transport)
+	m.meshServer = rpc.NewServer(m.options.MeshListener, transport)
 }
 
 // openReplicas creates the replicas and reads their folders.
 func (m *Member) openReplicas() ([]wal.Recovered, error) {
-	m.registry = newRegistryStateMachine(m.options.Keys)
-	registryReplica := m.newReplica(registryGroup, m.registry, m.pool)
+	m.registryState = newRegistryStateMachine(m.options.Keys)
+	registryReplica := m.newReplica(registryGroup, m.registryState, m.pool)
 	registryReplica.onApplied = m.publishSource
 	registryReplica.onMembershipChange = m.publishMembers
 	folders := []disk.FS{m.options.RegistryFolder}
 	for i, folder := range m.options.LedgerFolders {
 		machine := newLedgerStateMachine(m.options.Ledger)
-		m.ledgers = append(m.ledgers, machine)
+		m.ledgerStates = append(m.ledgerStates, machine)
 		m.newReplica(uint32(i+1), machine, m.ledgerPool)
 		folders = append(folders, folder)
 	}
@@ -215,7 +215,7 @@
 func (m *Member) Start() {
 	m.logger.Info().Str("member", m.ID()).Str("mesh", m.options.Advertise).Msg("member starts")
 	m.tasks.Go(func() {
-		if err := m.mesh.Serve(); err != nil && m.ctx.Err() == nil {
+		if err := m.meshServer.Serve(); err != nil && m.ctx.Err() == nil {
 			m.logger.Error().Err(err).Msg("stopped serving the mesh")
 		}
 	})
@@ -230,10 +230,10 @@
 // serveAdmin serves operators. With TLS, they need a certificate of an accepted authority.
 func (m *Member) serveAdmin() error {
 	if m.options.Identity == nil {
-		return m.admin.Serve(m.options.AdminListener)
+		return m.adminServer.Serve(m.options.AdminListener)
 	}
-	m.admin.TLSConfig = m.options.Identity.ServerConfig("h2", "http/1.1")
-	return m.admin.ServeTLS(m.options.AdminListener, "", "")
+	m.adminServer.TLSConfig = m.options.Identity.ServerConfig("h2", "http/1.1")
+	return m.adminServer.ServeTLS(m.options.AdminListener, "", "")
 }
 
 // run forms or rejoins the groups and then becomes the control goroutine.
@@ -317,9 +317,9 @@
 
 // publishSource passes the registry's state to the distribution tree.
 func (m *Member) publishSource(now time.Time) {
-	state := m.registry.registry.State()
+	state := m.registryState.registry.State()
 	source := relay.Source{Latest: state.Latest, Stopped: state.Stopped, Bundles: state.StoredBundles}
-	m.peer.SetSource(now, source, m.registry.registry.Store())
+	m.peer.SetSource(now, source, m.registryState.registry.Store())
 }
 
 // publishMembers passes the membership of the registry's group to the distribution tree.
@@ -364,8 +364,8 @@
 	switch {
 	case request.Target == protocol.TargetRegistry:
 		return m.replicas[registryGroup], nil
-	case request.Target == protocol.TargetLedger && len(m.ledgers) > 0:
-		return m.replicas[1+protocol.LedgerIndex(request.Key, len(m.ledgers))], nil
+	case request.Target == protocol.TargetLedger && len(m.ledgerStates) > 0:
+		return m.replicas[1+protocol.LedgerIndex(request.Key, len(m.ledgerStates))], nil
 	case request.Target == protocol.TargetMembership && int(request.Group) < len(m.replicas):
 		return m.replicas[request.Group], nil
 	default:
@@ -401,7 +401,7 @@
 	case <-m.ctx.Done():
 	case <-ctx.Done():
 	}
-	reply.LedgerGroups = len(m.ledgers)
+	reply.LedgerGroups = len(m.ledgerStates)
 	m.metrics.proposalTime.WithLabelValues(proposalResults[reply.Status]).Observe(time.Since(started).Seconds())
 	return reply, nil
 }
@@ -437,14 +437,14 @@
 
 // Stop transfers the leadership and stops the member.
 func (m *Member) Stop(ctx context.Context) error {
-	bounded, cancel := context.WithTimeout(ctx, transferTimeout)
+	transferCtx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	if m.waitRunning(bounded) == nil {
-		m.transferLeadership(bounded)
+	if m.waitRunning(transferCtx) == nil {
+		m.transferLeadership(transferCtx)
 	}
-	closing, cancelClosing := context.WithTimeout(ctx, adminShutdownTimeout)
-	defer cancelClosing()
-	_ = m.admin.Shutdown(closing)
+	shutdownCtx, cancelShutdown := context.WithTimeout(ctx, adminShutdownTimeout)
+	defer cancelShutdown()
+	_ = m.adminServer.Shutdown(shutdownCtx)
 	m.Kill()
 	return nil
 }
@@ -479,8 +479,8 @@
 func (m *Member) Kill() {
 	m.killOnce.Do(func() {
 		m.cancel()
-		m.mesh.Stop()
-		_ = m.admin.Close()
+		m.meshServer.Stop()
+		_ = m.adminServer.Close()
 		m.pool.Close()
 		m.ledgerPool.Close()
 		m.tasks.Wait()
--- a/control/membership.go
+++ b/control/membership.go
@@ -105,8 +105,8 @@
 	if len(reply.Groups) != len(b.member.replicas) || reply.Groups[registryGroup].ID != id {
 		return &operator.Error{Kind: operator.ErrBadRequest, Message: "the process at " + address + " is not member " + id}
 	}
-	for group, described := range reply.Groups {
-		member := raft.Member{ID: raft.MemberID(described.ID), Address: address, Zone: zone, Learner: true}
+	for group, identity := range reply.Groups {
+		member := raft.Member{ID: raft.MemberID(identity.ID), Address: address, Zone: zone, Learner: true}
 		change := raft.MembershipChange{Kind: raft.ChangeAddLearner, Member: member}
 		if err := b.commitChange(ctx, uint32(group), change); err != nil {
 			return err
@@ -115,9 +115,9 @@
 	if learner {
 		return nil
 	}
-	for group, described := range reply.Groups {
+	for group, identity := range reply.Groups {
 		change := raft.MembershipChange{
-			Kind: raft.ChangePromote, Member: raft.Member{ID: raft.MemberID(described.ID)},
+			Kind: raft.ChangePromote, Member: raft.Member{ID: raft.MemberID(identity.ID)},
 		}
 		if err := b.commitChange(ctx, uint32(group), change); err != nil {
 			return err
--- a/control/operatorapi.go
+++ b/control/operatorapi.go
@@ -35,7 +35,7 @@
 func (b operatorBackend) stage(ctx context.Context, full registry.Command) (operator.Decision, error) {
 	reduced := full
 	err := b.query(ctx, func(time.Time) {
-		if difference, err := b.member.registry.registry.Shrink(*full.Stage); err == nil {
+		if difference, err := b.member.registryState.registry.Shrink(*full.Stage); err == nil {
 			reduced.Stage = &difference
 		}
 	})
@@ -127,9 +127,9 @@
 		if age, ok := m.replicas[registryGroup].raft.ConfirmedAge(now); ok {
 			status.ConfirmedAgeMs = age.Milliseconds()
 		}
-		state := m.registry.registry.State()
+		state := m.registryState.registry.State()
 		status.Latest = state.Latest
-		status.Staged = m.registry.registry.Staged()
+		status.Staged = m.registryState.registry.Staged()
 		status.Zones = zoneStatuses(m.peer.Zones(), state)
 		status.Rollout = operator.MeshRollout(latestVersion(state), state.Stopped, status.Zones)
 	})
@@ -143,15 +143,15 @@
 // zoneStatuses describes the proxies of each zone.
 func zoneStatuses(counts []relay.ZoneCounts, state registry.State) []operator.ZoneStatus {
 	var zones []operator.ZoneStatus
-	for _, counted := range counts {
+	for _, zoneCounts := range counts {
 		zone := operator.ZoneStatus{
-			Zone: counted.Zone, Proxies: counted.Counts.Nodes, LowestVersion: counted.Counts.Lowest,
-			AgeMs: counted.Age.Milliseconds(),
+			Zone: zoneCounts.Zone, Proxies: zoneCounts.Counts.Nodes, LowestVersion: zoneCounts.Counts.Lowest,
+			AgeMs: zoneCounts.Age.Milliseconds(),
 		}
-		for _, version := range counted.Counts.Versions {
+		for _, version := range zoneCounts.Counts.Versions {
 			zone.Versions = append(zone.Versions, operator.VersionCount{Version: version.Version, Proxies: version.Nodes})
 		}
-		for _, lag := range counted.Counts.Lagging {
+		for _, lag := range zoneCounts.Counts.Lagging {
 			zone.Lagging = append(zone.Lagging,
 				operator.LaggingProxy{ID: lag.ID, Version: lag.Version, Reason: lag.Reason})
 		}
@@ -177,7 +177,7 @@
 	}
 	var response operator.HistoryResponse
 	err := b.query(ctx, func(time.Time) {
-		response.Records = operator.NewestRecords(b.member.registry.registry.History(), limit)
+		response.Records = operator.NewestRecords(b.member.registryState.registry.History(), limit)
 	})
 	return response, err
 }
--- a/state/registry/update.go
+++ b/state/registry/update.go
@@ -78,11 +78,11 @@
 	if err != nil {
 		return Stage{}, err
 	}
-	small, err := r.shrinkUpdate(update)
+	reduced, err := r.shrinkUpdate(update)
 	if err != nil {
 		return Stage{}, err
 	}
-	s.Update, err = EncodeUpdate(small)
+	s.Update, err = EncodeUpdate(reduced)
 	return s, err
 }
 
@@ -90,25 +90,25 @@
 	if r.store.Holds(update.Target) {
 		return bundle.Update{Base: update.Target, Target: update.Target}, nil
 	}
-	from, ok := r.store.Manifest(update.Base)
+	updateBase, ok := r.store.Manifest(update.Base)
 	if !ok && !update.Base.IsZero() {
 		return bundle.Update{}, errors.Wrapf(ErrMissingParts, "base bundle %s", update.Base.Short())
 	}
-	target, err := from.Apply(update.Delta, update.Target)
+	target, err := updateBase.Apply(update.Delta, update.Target)
 	if err != nil {
 		return bundle.Update{}, errors.Wrapf(ErrInvalid, "%v", err)
 	}
-	small := bundle.Update{Target: update.Target}
+	reduced := bundle.Update{Target: update.Target}
 	var base bundle.Manifest
 	if r.latest != nil {
-		small.Base = r.latest.Digest
-		base, _ = r.store.Manifest(small.Base)
+		reduced.Base = r.latest.Digest
+		base, _ = r.store.Manifest(reduced.Base)
 	}
-	small.Delta = bundle.Diff(base, target)
+	reduced.Delta = bundle.Diff(base, target)
 	for _, part := range update.Parts {
 		if !r.store.HoldsPart(part.Digest) {
-			small.Parts = append(small.Parts, part)
+			reduced.Parts = append(reduced.Parts, part)
 		}
 	}
-	return small, nil
+	return reduced, nil
 }
