--- a/control/member.go
+++ b/control/member.go
@@ -35,11 +35,12 @@
 	// Instance is the name of the instance in logs and dumps.
 	Instance string
 	Zone     string
-	// MeshListener listens for nodes and other members, Admin for operators. The member closes both.
+	// MeshListener accepts the connections of nodes and other members, AdminListener those of operators. The member
+	// closes both.
 	MeshListener  net.Listener
 	AdminListener net.Listener
-	// Advertise and AdvertiseAdmin are the addresses under which others reach Mesh and Admin. If they are empty, the
-	// addresses of the listeners are used.
+	// Advertise and AdvertiseAdmin are the addresses under which others reach MeshListener and AdminListener. If they are
+	// empty, the addresses of the listeners are used.
 	Advertise      string
 	AdvertiseAdmin string
 	// Founders lists the first members of a new group, this one included. It is used only while the data folder is new,
--- a/control/statemachine.go
+++ b/control/statemachine.go
@@ -23,12 +23,12 @@
 
 // registryStateMachine holds the registry of bundles and approvals.
 type registryStateMachine struct {
-	keys     *bundle.Keyring
+	keyring  *bundle.Keyring
 	registry *registry.Registry
 }
 
-func newRegistryStateMachine(keys *bundle.Keyring) *registryStateMachine {
-	return &registryStateMachine{keys: keys, registry: registry.New(keys)}
+func newRegistryStateMachine(keyring *bundle.Keyring) *registryStateMachine {
+	return &registryStateMachine{keyring: keyring, registry: registry.New(keyring)}
 }
 
 // prepare reduces the update of a stage to the parts that the registry lacks, so that the log carries each part once.
@@ -59,10 +59,10 @@
 
 func (s *registryStateMachine) restore(data []byte) error {
 	if len(data) == 0 {
-		s.registry = registry.New(s.keys)
+		s.registry = registry.New(s.keyring)
 		return nil
 	}
-	restored, err := registry.Restore(s.keys, data)
+	restored, err := registry.Restore(s.keyring, data)
 	if err != nil {
 		return errors.Wrap(err, "control: restore registry")
 	}
--- a/state/ledger/ledger.go
+++ b/state/ledger/ledger.go
@@ -41,7 +41,8 @@
 }
 
 // Release gives up a claim after a call that was certainly not run. It ends the claim only if it comes from its holder.
-// In any case, copies of the sender's claim that arrive later are not granted.
+// Whether it does or not, copies of the sender's claim that arrive later are not granted. Nothing is stored for an
+// unknown key while the ledger is full.
 type Release struct {
 	Key         string `cbor:"1,keyasint"`
 	Executor    string `cbor:"2,keyasint"`
@@ -95,7 +96,8 @@
 type Result struct {
 	Status Status `cbor:"1,keyasint"`
 	// Holder is the current or last holder of the claim. Its Route and RequestDigest are not set.
-	Holder   Claim     `cbor:"2,keyasint,omitzero"`
+	Holder Claim `cbor:"2,keyasint,omitzero"`
+	// Response is set if Status is Done.
 	Response *Response `cbor:"3,keyasint,omitempty"`
 }
 
@@ -136,7 +138,7 @@
 // Ledger holds the state of all keys. It is not safe for concurrent use.
 type Ledger struct {
 	config Config
-	nowMs  int64
+	nowMs  int64 // the latest time of all commands so far
 	keys
 	responses
 	executors nameTable
@@ -251,8 +253,8 @@
 	l.responses.expire(l.nowMs, l.config.MaxTotalResponseBytes)
 }
 
-// release ends the claim if the sender holds it. In any case, copies of the sender's claim that arrive later are void:
-// if one were granted, no attempt would run the call or release the claim.
+// release ends the claim if the sender holds it. Whether it does or not, copies of the sender's claim that arrive later
+// are void: if one were granted, no attempt would run the call or release the claim.
 func (l *Ledger) release(r Release) Result {
 	key, claimant := hashKey(r.Key), l.holder(r.Executor, r.Incarnation, r.Attempt)
 	e, known := l.lookupForUpdate(key, l.nowMs)
--- a/state/registry/apply.go
+++ b/state/registry/apply.go
@@ -90,7 +90,7 @@
 
 // stage adds a bundle under a version. If too many are staged, the oldest one is dropped.
 func (r *Registry) stage(index uint64, s Stage) Result {
-	if !r.keys.Has(s.Operator) {
+	if !r.keyring.Has(s.Operator) {
 		return refuse(CodeUnauthorized, "operator %q has no key in the keyring", s.Operator)
 	}
 	if result, done := r.checkVersion(s.Version, s.Digest); done {
@@ -176,7 +176,7 @@
 // checkApproval returns the result of an approval that is not authorized, that was decided before, or whose condition
 // on the version to be replaced is not met; done is false if the approval can go on.
 func (r *Registry) checkApproval(a bundle.Approval) (result Result, done bool) {
-	if err := r.keys.Verify(a); err != nil {
+	if err := r.keyring.Verify(a); err != nil {
 		return refuse(CodeUnauthorized, "%v", err), true
 	}
 	if result, done := r.checkVersion(a.Version, a.Digest); done {
@@ -241,7 +241,7 @@
 
 // stop stops the rollout of the latest approved version, or withdraws a staged version.
 func (r *Registry) stop(index uint64, s Stop) Result {
-	if err := r.keys.VerifyMessage(s.Operator, purposeStop, s.signedBytes(), s.Signature); err != nil {
+	if err := r.keyring.VerifyMessage(s.Operator, purposeStop, s.signedBytes(), s.Signature); err != nil {
 		return refuse(CodeUnauthorized, "%v", err)
 	}
 	if record, ok := r.stops[s.Version]; ok {
--- a/state/registry/registry.go
+++ b/state/registry/registry.go
@@ -68,11 +68,11 @@
 	maxRequestID = 64
 )
 
-// Registry is the state machine. It is not safe for concurrent use.
+// Registry is the replicated state machine. It is not safe for concurrent use.
 type Registry struct {
-	keys  *bundle.Keyring
-	store *bundle.Store
-	index uint64
+	keyring *bundle.Keyring
+	store   *bundle.Store
+	index   uint64 // log index of the last applied command
 	// latest is the record of the approval with the greatest version.
 	latest  *HistoryRecord
 	stopped bool
@@ -90,10 +90,10 @@
 	results   resultCache
 }
 
-// New returns an empty registry that verifies signatures with the given keys.
-func New(keys *bundle.Keyring) *Registry {
+// New returns an empty registry that verifies signatures with a keyring.
+func New(keyring *bundle.Keyring) *Registry {
 	return &Registry{
-		keys:      keys,
+		keyring:   keyring,
 		store:     bundle.NewStore(),
 		withdrawn: make(map[uint64]uint64),
 		approvals: make(map[uint64]*HistoryRecord),
--- a/state/registry/snapshot.go
+++ b/state/registry/snapshot.go
@@ -59,7 +59,7 @@
 }
 
 // Restore returns a registry with the state of a snapshot. It returns ErrMalformed if the snapshot is damaged.
-func Restore(keys *bundle.Keyring, data []byte) (*Registry, error) {
+func Restore(keyring *bundle.Keyring, data []byte) (*Registry, error) {
 	plain, err := snapshotDecompressor.DecodeAll(data, nil)
 	if err != nil {
 		return nil, errors.Wrapf(ErrMalformed, "decompress snapshot: %v", err)
@@ -71,7 +71,7 @@
 	if s.Format != snapshotFormat {
 		return nil, errors.Wrapf(ErrMalformed, "snapshot format %d, want %d", s.Format, snapshotFormat)
 	}
-	r := New(keys)
+	r := New(keyring)
 	r.index, r.latest, r.stopped, r.recentApproved = s.Index, s.Latest, s.Stopped, s.RecentApproved
 	r.staged, r.withdrawnUpTo, r.history = s.Staged, s.WithdrawnUpTo, s.History
 	for _, entry := range s.Withdrawn {
