--- a/control/member.go
+++ b/control/member.go
@@ -51,7 +51,8 @@
 	LedgerFolders  []disk.FS
 	Keys           *bundle.Keyring
 	// Voters is the number of members that vote when nothing has failed. If it is set, the leader replaces members that
-	// have lost their disk or do not respond by processes that ask to join. 0 leaves that to operators.
+	// have lost their disk or do not respond by processes that ask to join; this covers only the registry's group. 0
+	// leaves the membership to operators.
 	Voters int
 	// Seeds returns mesh addresses of processes that may know the group. A process that belongs to no group sends its join
 	// requests to them. It is used only if Voters is set.
--- a/control/replica.go
+++ b/control/replica.go
@@ -40,7 +40,7 @@
 	raft          *raft.Node
 	transport     *raftTransport
 	membership    raft.Membership
-	proposals     map[uint64]proposal
+	proposals     map[uint64]proposal // by log index
 	writes        chan writeJob
 	writeInFlight bool
 	hasFailed     bool
