--- a/state/disk/fake.go
+++ b/state/disk/fake.go
@@ -16,9 +16,9 @@
 type Fake struct {
 	rng          *rand.Rand
 	files        map[string]*fakeFile
-	pending      []folderChange
+	pending      []folderChange // changes of the folder since the last SyncFolder
 	durableFiles map[string]*fakeFile
-	generation   int
+	generation   int // number of crashes; files that were opened before the last one are unusable
 	tornWrites   bool
 	failWrites   int
 	failSyncs    int
@@ -37,10 +37,10 @@
 	pending []fileChange
 }
 
-// fileChange is a truncation to size, or, if data is not nil, an append of data at the offset size.
+// fileChange is an append of data at offset, which is the end of the file, or a truncation to offset if data is nil.
 type fileChange struct {
-	data []byte
-	size int64
+	data   []byte
+	offset int64
 }
 
 // folderChange sets the files of names in one step, or removes the names whose file is nil.
@@ -126,33 +126,33 @@
 	}
 	data := slices.Clone(change.data[:f.rng.Intn(len(change.data)+1)])
 	if f.rng.Intn(2) == 0 {
-		return fileChange{data: data, size: change.size}
+		return fileChange{data: data, offset: change.offset}
 	}
 	sectors := int64(len(data)) / sectorBytes
 	if sectors == 0 {
-		return fileChange{data: data, size: change.size}
+		return fileChange{data: data, offset: change.offset}
 	}
-	// change.size is the offset of the write in the file; sectors are aligned within the file.
-	start := (change.size+sectorBytes-1)/sectorBytes*sectorBytes + f.rng.Int63n(sectors)*sectorBytes - change.size
+	// Sectors are aligned within the file.
+	start := (change.offset+sectorBytes-1)/sectorBytes*sectorBytes + f.rng.Int63n(sectors)*sectorBytes - change.offset
 	for i := start; i < min(start+sectorBytes, int64(len(data))); i++ {
 		data[i] = 0
 	}
-	return fileChange{data: data, size: change.size}
+	return fileChange{data: data, offset: change.offset}
 }
 
 func (c fileChange) apply(content []byte) []byte {
 	if c.data != nil {
 		return append(content, c.data...)
 	}
-	return content[:c.size]
+	return content[:c.offset]
 }
 
-func (c folderChange) apply(names map[string]*fakeFile) {
+func (c folderChange) apply(files map[string]*fakeFile) {
 	for name, file := range c.changes {
 		if file == nil {
-			delete(names, name)
+			delete(files, name)
 		} else {
-			names[name] = file
+			files[name] = file
 		}
 	}
 }
@@ -278,7 +278,7 @@
 	if len(p) == 0 {
 		return
 	}
-	h.applyChange(fileChange{data: slices.Clone(p), size: int64(len(h.file.content))})
+	h.applyChange(fileChange{data: slices.Clone(p), offset: int64(len(h.file.content))})
 }
 
 // applyChange changes the current content at once and the durable content at the next Sync.
@@ -309,7 +309,7 @@
 	if size < 0 || size > int64(len(h.file.content)) {
 		return errors.Newf("disk: cannot truncate %d bytes to %d", len(h.file.content), size)
 	}
-	h.applyChange(fileChange{size: size})
+	h.applyChange(fileChange{offset: size})
 	return nil
 }
 
