--- a/coordination/raft/cluster_test.go
+++ b/coordination/raft/cluster_test.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	step          = 5 * time.Millisecond
-	compactEvery  = 25
-	logCheckSteps = 20
+	step              = 5 * time.Millisecond // by which the simulated time advances
+	compactionEntries = 25                   // applied entries after which a member takes a snapshot
+	logCheckSteps     = 20                   // steps between two comparisons of all logs
 )
 
 // cluster simulates members with fake disks, clocks that differ in rate and a faulty network. After every step it
 // checks the safety properties against what all members together have applied and committed.
 type cluster struct {
-	rng              *rand.Rand
-	now              time.Duration
-	steps            int
-	members          []*member
-	packets          []packet
-	loss             float64
-	duplication      float64
-	minDelay         time.Duration
-	maxExtraDelay    time.Duration
-	maxWriteTime     time.Duration
-	crashProbability float64 // probability that a member crashes during a write and restarts at once
-	blockedLinks     map[[2]raft.MemberID]bool
-	recordedMessages []raft.Message
-	recordMessages   bool
-
-	leaders     map[uint64]raft.MemberID
-	states      []uint64        // states[i] is the application state after entry i
-	committedAt []time.Duration // committedAt[i] is when the first member knew that entry i is committed
+	rng                   *rand.Rand
+	now                   time.Duration
+	steps                 int
+	members               []*member
+	packets               []packet
+	loss                  float64
+	duplication           float64
+	minDelay              time.Duration
+	maxExtraDelay         time.Duration
+	maxWriteTime          time.Duration
+	writeCrashProbability float64                   // of a crash and restart per write
+	blockedLinks          map[[2]raft.MemberID]bool // by sender and receiver
+	recordedMessages      []raft.Message
+	recordMessages        bool
+
+	leaders     map[uint64]raft.MemberID // by term
+	states      []uint64                 // states[i] is the application state after entry i
+	committedAt []time.Duration          // committedAt[i] is when the first member knew that entry i is committed
 	ageChecks   int
 }
 
@@ -48,11 +48,11 @@
 	disk              *disk.Fake
 	log               *wal.Log
 	node              *raft.Node
-	clockRate         float64
+	clockRate         float64 // speed of the member's clock relative to the simulated time
 	initialMembership raft.Membership
 	applied           uint64
-	state             uint64
-	ready             *raft.Ready
+	state             uint64      // the application state: a hash over all applied entries
+	ready             *raft.Ready // the batch that is being written, or nil
 	writeDoneAt       time.Duration
 }
 
@@ -206,7 +206,7 @@
 				m.writeDoneAt += time.Duration(c.rng.Int63n(int64(c.maxWriteTime) + 1))
 			}
 			c.send(r.EarlyMessages)
-			if r.MustSync && c.rng.Float64() < c.crashProbability {
+			if r.MustSync && c.rng.Float64() < c.writeCrashProbability {
 				c.crash(m)
 				c.restart(m)
 				continue
@@ -241,7 +241,7 @@
 		c.checkState(m)
 	}
 	m.node.Advance(r)
-	if status := m.node.Status(); status.Applied >= status.SnapshotIndex+compactEvery {
+	if status := m.node.Status(); status.Applied >= status.SnapshotIndex+compactionEntries {
 		c.compact(m)
 	}
 }
--- a/coordination/raft/random_test.go
+++ b/coordination/raft/random_test.go
@@ -19,7 +19,7 @@
 		c.duplication = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "duplication")
 		c.maxExtraDelay = time.Duration(rapid.SampledFrom([]int{0, 20, 200}).Draw(t, "delay")) * time.Millisecond
 		c.maxWriteTime = time.Duration(rapid.SampledFrom([]int{0, 10, 100}).Draw(t, "write")) * time.Millisecond
-		c.crashProbability = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "crashWrites")
+		c.writeCrashProbability = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "crashWrites")
 		c.run(2 * time.Second)
 		for range rapid.IntRange(10, 60).Draw(t, "actions") {
 			m := c.members[rapid.IntRange(0, len(c.members)-1).Draw(t, "member")]
@@ -82,7 +82,7 @@
 // recoverAll ends all faults, restarts crashed members and expects the group to commit an entry on all members.
 func (c *cluster) recoverAll(t *rapid.T) {
 	c.heal()
-	c.loss, c.duplication, c.crashProbability, c.maxExtraDelay, c.maxWriteTime = 0, 0, 0, 0, 2*time.Millisecond
+	c.loss, c.duplication, c.writeCrashProbability, c.maxExtraDelay, c.maxWriteTime = 0, 0, 0, 0, 2*time.Millisecond
 	for _, m := range c.members {
 		if m.node == nil {
 			c.restart(m)
