--- a/node/irreversible.go
+++ b/node/irreversible.go
@@ -290,22 +290,22 @@
 		c.executor.awaitCrashCheck(ctx, slot)
 		return c.stateMachine.UpstreamFailed
 	}
-	defer response.Response.Body.Close()
-	if !c.executor.dialect.ValidResponse(request.Header, response.Response.Header, response.Response.StatusCode) {
+	defer response.HTTP.Body.Close()
+	if !c.executor.dialect.ValidResponse(request.Header, response.HTTP.Header, response.HTTP.StatusCode) {
 		response.Discard()
 		return c.stateMachine.UpstreamFailed
 	}
-	if c.executor.dialect.Refused(response.Response.StatusCode, response.Response.Header) {
+	if c.executor.dialect.Refused(response.HTTP.StatusCode, response.HTTP.Header) {
 		return c.stateMachine.UpstreamRefused
 	}
-	body, err := readRecordedBody(response.Response.Body)
+	body, err := readRecordedBody(response.HTTP.Body)
 	if err != nil {
 		c.executor.awaitCrashCheck(ctx, slot)
 		return c.stateMachine.UpstreamFailed
 	}
 	c.executor.clearSuspicion(c.metadata)
 	recorded := ledger.Response{
-		Status: response.Response.StatusCode, Header: web.CopyHeader(response.Response.Header), Body: body,
+		Status: response.HTTP.StatusCode, Header: web.CopyHeader(response.HTTP.Header), Body: body,
 	}
 	return func(now time.Time) []execution.Output { return c.stateMachine.UpstreamResponse(now, recorded) }
 }
@@ -314,7 +314,7 @@
 func readRecordedBody(body io.Reader) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(body, maxRecordedBodyBytes+1))
 	if err != nil {
-		return nil, errors.Wrapf(web.ErrCut, "%v", err)
+		return nil, errors.Wrapf(web.ErrTruncated, "%v", err)
 	}
 	if len(data) > maxRecordedBodyBytes {
 		return nil, errResponseTooLarge
--- a/node/run.go
+++ b/node/run.go
@@ -73,13 +73,13 @@
 		defer e.releaseSlot(slot, 0)
 		return e.failedReply(ctx, slot, err)
 	}
-	if !e.dialect.ValidResponse(request.Header, response.Response.Header, response.Response.StatusCode) {
+	if !e.dialect.ValidResponse(request.Header, response.HTTP.Header, response.HTTP.StatusCode) {
 		response.Discard()
 		defer e.releaseSlot(slot, 0)
-		return e.failedReply(ctx, slot, errors.Wrap(web.ErrCut, "the response does not belong to the request"))
+		return e.failedReply(ctx, slot, errors.Wrap(web.ErrTruncated, "the response does not belong to the request"))
 	}
-	if e.dialect.Refused(response.Response.StatusCode, response.Response.Header) {
-		response.Response.Body.Close()
+	if e.dialect.Refused(response.HTTP.StatusCode, response.HTTP.Header) {
+		response.HTTP.Body.Close()
 		e.releaseSlot(slot, 0)
 		return notRunReply(protocol.ReasonUpstreamRefused)
 	}
@@ -88,26 +88,26 @@
 
 // forwardResponse buffers a response of up to maxBufferedResponseBytes and streams a longer one.
 func (e *executor) forwardResponse(
-	ctx context.Context, meta *protocol.CallMetadata, slot *grantedSlot, started time.Time, response *web.UpstreamAnswer,
+	ctx context.Context, meta *protocol.CallMetadata, slot *grantedSlot, started time.Time, response *web.UpstreamResponse,
 ) *callReply {
-	prefix, complete, err := readPrefix(response.Response.Body)
+	prefix, complete, err := readPrefix(response.HTTP.Body)
 	if err != nil {
-		response.Response.Body.Close()
+		response.HTTP.Body.Close()
 		defer e.releaseSlot(slot, 0)
-		return e.failedReply(ctx, slot, errors.Wrapf(web.ErrCut, "%v", err))
+		return e.failedReply(ctx, slot, errors.Wrapf(web.ErrTruncated, "%v", err))
 	}
 	reply := &callReply{metadata: responseMetadata(meta.Method, response), body: prefix}
 	if complete {
-		response.Response.Body.Close()
-		reply.trailer = response.Response.Trailer
+		response.HTTP.Body.Close()
+		reply.trailer = response.HTTP.Trailer
 		reply.metadata.ContentLength = int64(len(prefix))
-		reply.metadata.UpstreamTime = time.Since(response.Sent)
+		reply.metadata.UpstreamTime = time.Since(response.WrittenAt)
 		e.releaseSlot(slot, time.Since(started))
 		e.clearSuspicion(meta)
 		return reply
 	}
-	reply.metadata.UpstreamTime = time.Since(response.Sent)
-	reply.stream = &upstreamStream{response: response.Response}
+	reply.metadata.UpstreamTime = time.Since(response.WrittenAt)
+	reply.stream = &upstreamStream{response: response.HTTP}
 	reply.onFinish = func() { e.releaseSlot(slot, time.Since(started)) }
 	return reply
 }
@@ -153,16 +153,16 @@
 }
 
 // responseMetadata returns the metadata of the reply to a call that the upstream has run.
-func responseMetadata(method string, response *web.UpstreamAnswer) protocol.ReplyMetadata {
-	header := web.CopyHeader(response.Response.Header)
-	if response.Response.ContentLength >= 0 && bodyAllowed(method, response.Response.StatusCode) {
+func responseMetadata(method string, response *web.UpstreamResponse) protocol.ReplyMetadata {
+	header := web.CopyHeader(response.HTTP.Header)
+	if response.HTTP.ContentLength >= 0 && bodyAllowed(method, response.HTTP.StatusCode) {
 		header.Del("Content-Length") // The ingress sets it from the metadata.
 	}
 	return protocol.ReplyMetadata{
 		Outcome:       protocol.OutcomeDone,
-		Status:        response.Response.StatusCode,
+		Status:        response.HTTP.StatusCode,
 		Header:        protocol.HeaderFields(header),
-		ContentLength: response.Response.ContentLength,
+		ContentLength: response.HTTP.ContentLength,
 	}
 }
 
@@ -177,7 +177,7 @@
 	}
 	crashed := e.awaitCrashCheck(ctx, slot)
 	reason := protocol.ReasonUpstreamFailed
-	if errors.Is(err, web.ErrCut) && !crashed {
+	if errors.Is(err, web.ErrTruncated) && !crashed {
 		reason = protocol.ReasonTruncated
 	}
 	reply := unknownReply(reason)
@@ -203,7 +203,7 @@
 	buffer := make([]byte, protocol.ChunkBytes)
 	n, last, err := readChunk(s.response.Body, buffer)
 	if err != nil {
-		return nil, errors.Wrapf(web.ErrCut, "%v", err)
+		return nil, errors.Wrapf(web.ErrTruncated, "%v", err)
 	}
 	frame := &protocol.ReplyFrame{Body: buffer[:n], Last: last}
 	if last {
--- a/transport/web/upstream.go
+++ b/transport/web/upstream.go
@@ -20,17 +20,17 @@
 var (
 	// ErrNotWritten means that no byte of the request reached the upstream's connection: it was not run.
 	ErrNotWritten = errors.New("web: request was not written to the upstream")
-	// ErrBroken means that the connection broke after the request, or part of it, was written.
-	ErrBroken = errors.New("web: connection to the upstream broke")
-	// ErrCut means that the answer ended before its announced length.
-	ErrCut = errors.New("web: answer of the upstream was cut")
+	// ErrConnectionBroken means that the connection broke after the request, or part of it, was written.
+	ErrConnectionBroken = errors.New("web: connection to the upstream broke")
+	// ErrTruncated means that the answer ended before its announced length.
+	ErrTruncated = errors.New("web: answer of the upstream was cut")
 )
 
 const (
 	upstreamDialTimeout = time.Second
 	upstreamIdleTimeout = 90 * time.Second
-	// idleProbeInterval keeps TCP aware of an upstream instance that is gone without a reset.
-	idleProbeInterval = 15 * time.Second
+	// keepAliveInterval keeps TCP aware of an upstream instance that is gone without a reset.
+	keepAliveInterval = 15 * time.Second
 )
 
 // UpstreamClient sends requests to one upstream. It is safe for concurrent use.
@@ -42,7 +42,7 @@
 // NewUpstreamClient returns a client that keeps up to the given number of connections open, so that calls do not wait
 // for new ones.
 func NewUpstreamClient(address string, connections int) *UpstreamClient {
-	dialer := &net.Dialer{Timeout: upstreamDialTimeout, KeepAlive: idleProbeInterval}
+	dialer := &net.Dialer{Timeout: upstreamDialTimeout, KeepAlive: keepAliveInterval}
 	return &UpstreamClient{
 		address: address,
 		transport: &http.Transport{
@@ -88,68 +88,68 @@
 	Trailer http.Header
 }
 
-// UpstreamAnswer is an upstream's answer. Its body must be closed.
-type UpstreamAnswer struct {
-	Response *http.Response
-	// Sent is the time when the request was written.
-	Sent time.Time
+// UpstreamResponse is an upstream's answer. Its body must be closed.
+type UpstreamResponse struct {
+	HTTP *http.Response
+	// WrittenAt is the time when the request was written.
+	WrittenAt time.Time
 
 	conn net.Conn
 }
 
 // Discard closes the answer and its connection, on which further bytes of an unknown request may follow.
-func (a *UpstreamAnswer) Discard() {
-	a.Response.Body.Close()
-	if a.conn != nil {
-		_ = a.conn.Close()
+func (r *UpstreamResponse) Discard() {
+	r.HTTP.Body.Close()
+	if r.conn != nil {
+		_ = r.conn.Close()
 	}
 }
 
-// sendTrace observes one request; net/http calls it from several goroutines.
-type sendTrace struct {
-	mu     sync.Mutex
-	conn   *countingConn
-	before int64
-	sent   time.Time
+// requestTrace observes one request; net/http calls it from several goroutines.
+type requestTrace struct {
+	mu            sync.Mutex
+	conn          *countingConn
+	writtenBefore int64
+	writtenAt     time.Time
 }
 
-func (t *sendTrace) gotConn(info httptrace.GotConnInfo) {
+func (t *requestTrace) gotConn(info httptrace.GotConnInfo) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.conn, _ = info.Conn.(*countingConn)
 	if t.conn != nil {
-		t.before = t.conn.written.Load()
+		t.writtenBefore = t.conn.written.Load()
 	}
 }
 
-func (t *sendTrace) wrote(httptrace.WroteRequestInfo) {
+func (t *requestTrace) wroteRequest(httptrace.WroteRequestInfo) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sent = time.Now()
+	t.writtenAt = time.Now()
 }
 
-// untouched reports whether no byte of the request can have reached the upstream.
-func (t *sendTrace) untouched() bool {
+// nothingWritten reports whether no byte of the request can have reached the upstream.
+func (t *requestTrace) nothingWritten() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.conn == nil || t.conn.written.Load() == t.before
+	return t.conn == nil || t.conn.written.Load() == t.writtenBefore
 }
 
-// answer describes an answer to the traced request.
-func (t *sendTrace) answer(response *http.Response) *UpstreamAnswer {
+// upstreamResponse describes an upstreamResponse to the traced request.
+func (t *requestTrace) upstreamResponse(response *http.Response) *UpstreamResponse {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	answer := &UpstreamAnswer{Response: response, Sent: t.sent}
+	result := &UpstreamResponse{HTTP: response, WrittenAt: t.writtenAt}
 	if t.conn != nil {
-		answer.conn = t.conn
+		result.conn = t.conn
 	}
-	return answer
+	return result
 }
 
 // Do sends a request and returns once the answer's header is there. It returns ErrNotWritten only if that is proved.
-func (c *UpstreamClient) Do(ctx context.Context, request UpstreamRequest) (*UpstreamAnswer, error) {
-	trace := &sendTrace{}
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: trace.gotConn, WroteRequest: trace.wrote})
+func (c *UpstreamClient) Do(ctx context.Context, request UpstreamRequest) (*UpstreamResponse, error) {
+	trace := &requestTrace{}
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: trace.gotConn, WroteRequest: trace.wroteRequest})
 	body := request.Body
 	if body == nil {
 		// net/http sends a request without a body again by itself when a kept connection breaks.
@@ -163,15 +163,15 @@
 	outgoing.Header = request.Header
 	outgoing.Trailer = request.Trailer
 	outgoing.ContentLength = request.ContentLength
-	forbidReplay(outgoing)
+	preventAutomaticRetry(outgoing)
 	response, err := c.transport.RoundTrip(outgoing)
 	if err != nil {
-		if trace.untouched() {
+		if trace.nothingWritten() {
 			return nil, errors.Wrapf(ErrNotWritten, "%v", err)
 		}
-		return nil, errors.Wrapf(ErrBroken, "%v", err)
+		return nil, errors.Wrapf(ErrConnectionBroken, "%v", err)
 	}
-	return trace.answer(response), nil
+	return trace.upstreamResponse(response), nil
 }
 
 // emptyBody is a body that net/http does not know to be empty.
@@ -180,11 +180,11 @@
 // Read implements io.Reader.
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 
-// forbidReplay keeps net/http from sending a request again: whether that is allowed is decided where the retry budget
+// preventAutomaticRetry keeps net/http from sending a request again: whether that is allowed is decided where the retry budget
 // and the other upstreams are known. It hides the idempotency key from net/http, which otherwise sends a request with a key again by itself when a
 // reused connection breaks after the request was written. The field reaches the upstream unchanged, since field names
 // have no case on the wire.
-func forbidReplay(request *http.Request) {
+func preventAutomaticRetry(request *http.Request) {
 	request.GetBody = nil
 	for _, name := range []string{protocol.HeaderIdempotencyKey, "X-Idempotency-Key"} {
 		if values, ok := request.Header[name]; ok {
@@ -211,12 +211,12 @@
 	}
 	response, err := c.transport.RoundTrip(request)
 	if err != nil {
-		return 0, nil, errors.Wrapf(ErrBroken, "%v", err)
+		return 0, nil, errors.Wrapf(ErrConnectionBroken, "%v", err)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, limit))
 	if err != nil {
-		return response.StatusCode, nil, errors.Wrapf(ErrCut, "%v", err)
+		return response.StatusCode, nil, errors.Wrapf(ErrTruncated, "%v", err)
 	}
 	return response.StatusCode, body, nil
 }
--- a/transport/web/upstream_test.go
+++ b/transport/web/upstream_test.go
@@ -57,16 +57,16 @@
 
 	DescribeTable("does not let net/http resend a keyed request on a reused connection",
 		func(body string) {
-			answer, err := client.Do(context.Background(), post(body))
+			response, err := client.Do(context.Background(), post(body))
 			Expect(err).NotTo(HaveOccurred())
-			got, err := io.ReadAll(answer.Response.Body)
+			got, err := io.ReadAll(response.HTTP.Body)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(string(got)).To(Equal("k1"), "the key must still reach the upstream")
-			Expect(answer.Response.Body.Close()).To(Succeed())
+			Expect(response.HTTP.Body.Close()).To(Succeed())
 
 			breakConnection.Store(true)
 			_, err = client.Do(context.Background(), post(body))
-			Expect(err).To(MatchError(web.ErrBroken))
+			Expect(err).To(MatchError(web.ErrConnectionBroken))
 			Expect(runs.Load()).To(BeEquivalentTo(2))
 		},
 		Entry("without a body", ""),
