--- a/transport/web/header.go
+++ b/transport/web/header.go
@@ -1,4 +1,4 @@
-// Package web carries HTTP between callers, nodes and upstreams with net/http.
+// Package web sends HTTP requests to upstreams and selects the header fields that a proxy passes on.
 package web
 
 import (
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// hopByHop are the fields that concern one connection only (RFC 9110, section 7.6.1).
+// hopByHop lists the header fields that apply to one connection only (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// CopyHeader returns the fields that pass through a proxy: all but hop-by-hop fields and those that the
-// Connection field names.
+// CopyHeader returns the fields that a proxy passes on: all but the hop-by-hop fields and the fields that the
+// Connection field names. The result shares the slices of values with the input.
 func CopyHeader(from http.Header) http.Header {
 	named := connectionFields(from)
 	to := make(http.Header, len(from))
@@ -29,6 +29,7 @@
 	return to
 }
 
+// connectionFields returns the names that are listed in the Connection field.
 func connectionFields(header http.Header) map[string]bool {
 	var named map[string]bool
 	for _, value := range header["Connection"] {
--- a/transport/web/upstream.go
+++ b/transport/web/upstream.go
@@ -18,18 +18,19 @@
 
 // Errors of calls to upstreams.
 var (
-	// ErrNotWritten means that no byte of the request reached the upstream's connection: it was not run.
+	// ErrNotWritten means that no byte of the request was written to a connection: the upstream has not run it.
 	ErrNotWritten = errors.New("web: request was not written to the upstream")
-	// ErrConnectionBroken means that the connection broke after the request, or part of it, was written.
+	// ErrConnectionBroken means that the request failed after it, or part of it, may have been written.
 	ErrConnectionBroken = errors.New("web: connection to the upstream broke")
-	// ErrTruncated means that the answer ended before its announced length.
-	ErrTruncated = errors.New("web: answer of the upstream was cut")
+	// ErrTruncated means that the response ended before its announced length.
+	ErrTruncated = errors.New("web: response of the upstream is truncated")
 )
 
 const (
 	upstreamDialTimeout = time.Second
 	upstreamIdleTimeout = 90 * time.Second
-	// keepAliveInterval keeps TCP aware of an upstream instance that is gone without a reset.
+	// keepAliveInterval is the interval of TCP keepalive probes, which detect an upstream instance that disappeared
+	// without a reset.
 	keepAliveInterval = 15 * time.Second
 )
 
@@ -39,8 +40,8 @@
 	transport *http.Transport
 }
 
-// NewUpstreamClient returns a client that keeps up to the given number of connections open, so that calls do not wait
-// for new ones.
+// NewUpstreamClient returns a client for an IP address and port. It opens at most the given number of connections and
+// keeps them open while they are idle, so that calls seldom wait for a new one.
 func NewUpstreamClient(address string, connections int) *UpstreamClient {
 	dialer := &net.Dialer{Timeout: upstreamDialTimeout, KeepAlive: keepAliveInterval}
 	return &UpstreamClient{
@@ -63,13 +64,13 @@
 	}
 }
 
-// countingConn counts written bytes, which proves whether a failed request can have reached the upstream.
+// countingConn counts the written bytes. The count shows whether a failed request can have reached the upstream.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
 }
 
-// Write counts before it writes: a failed write may have sent a part.
+// Write counts the bytes before it writes them, because a failed write may have sent some of them.
 func (c *countingConn) Write(data []byte) (int, error) {
 	c.written.Add(int64(len(data)))
 	return c.Conn.Write(data)
@@ -84,20 +85,21 @@
 	Body   io.Reader
 	// ContentLength is -1 if the length is not known in advance.
 	ContentLength int64
-	// Trailer is filled in by the sender while Body is read.
+	// Trailer holds the trailer fields. Their values need to be set only when Body has been read to its end.
 	Trailer http.Header
 }
 
-// UpstreamResponse is an upstream's answer. Its body must be closed.
+// UpstreamResponse is the response of an upstream. The caller must close the body or call Discard.
 type UpstreamResponse struct {
 	HTTP *http.Response
-	// WrittenAt is the time when the request was written.
+	// WrittenAt is the time at which the request was completely written.
 	WrittenAt time.Time
 
 	conn net.Conn
 }
 
-// Discard closes the answer and its connection, on which further bytes of an unknown request may follow.
+// Discard closes the body and the connection. It is for a response that does not belong to its request: later bytes on
+// the connection could be taken for the response to another request.
 func (r *UpstreamResponse) Discard() {
 	r.HTTP.Body.Close()
 	if r.conn != nil {
@@ -105,7 +107,7 @@
 	}
 }
 
-// requestTrace observes one request; net/http calls it from several goroutines.
+// requestTrace records how far one request got. net/http calls its methods from several goroutines.
 type requestTrace struct {
 	mu            sync.Mutex
 	conn          *countingConn
@@ -128,14 +130,14 @@
 	t.writtenAt = time.Now()
 }
 
-// nothingWritten reports whether no byte of the request can have reached the upstream.
+// nothingWritten reports whether the request wrote no byte to a connection.
 func (t *requestTrace) nothingWritten() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.conn == nil || t.conn.written.Load() == t.writtenBefore
 }
 
-// upstreamResponse describes an upstreamResponse to the traced request.
+// upstreamResponse combines the response with what was recorded about its request.
 func (t *requestTrace) upstreamResponse(response *http.Response) *UpstreamResponse {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,13 +148,14 @@
 	return result
 }
 
-// Do sends a request and returns once the answer's header is there. It returns ErrNotWritten only if that is proved.
+// Do sends a request and returns once the header of the response has arrived. It returns ErrNotWritten only if it is
+// certain that nothing was written, and ErrConnectionBroken after any other failure.
 func (c *UpstreamClient) Do(ctx context.Context, request UpstreamRequest) (*UpstreamResponse, error) {
 	trace := &requestTrace{}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: trace.gotConn, WroteRequest: trace.wroteRequest})
 	body := request.Body
 	if body == nil {
-		// net/http sends a request without a body again by itself when a kept connection breaks.
+		// net/http resends a request without a body by itself when a reused connection breaks.
 		body = emptyBody{}
 	}
 	outgoing, err := http.NewRequestWithContext(ctx, request.Method, "http://"+c.address+request.URI, body)
@@ -174,16 +177,16 @@
 	return trace.upstreamResponse(response), nil
 }
 
-// emptyBody is a body that net/http does not know to be empty.
+// emptyBody is an empty body that net/http does not recognize as empty.
 type emptyBody struct{}
 
 // Read implements io.Reader.
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 
-// preventAutomaticRetry keeps net/http from sending a request again: whether that is allowed is decided where the retry budget
-// and the other upstreams are known. It hides the idempotency key from net/http, which otherwise sends a request with a key again by itself when a
-// reused connection breaks after the request was written. The field reaches the upstream unchanged, since field names
-// have no case on the wire.
+// preventAutomaticRetry keeps net/http from resending a request: only the caller knows the retry budget and the other
+// upstreams. net/http resends a request that has an idempotency key when a reused connection breaks after the request
+// was written, so the key is stored under its lower-case name, which net/http does not recognize. It reaches the
+// upstream unchanged, since field names are case-insensitive.
 func preventAutomaticRetry(request *http.Request) {
 	request.GetBody = nil
 	for _, name := range []string{protocol.HeaderIdempotencyKey, "X-Idempotency-Key"} {
@@ -203,7 +206,8 @@
 	return conn.Close()
 }
 
-// Get fetches a small page from the upstream, such as its health or load report.
+// Get requests a path of the upstream, such as its health or load report, and returns the status code and at most limit
+// bytes of the body.
 func (c *UpstreamClient) Get(ctx context.Context, path string, limit int64) (int, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+path, nil)
 	if err != nil {
--- a/transport/web/upstream_test.go
+++ b/transport/web/upstream_test.go
@@ -55,13 +55,15 @@
 		DeferCleanup(client.Close)
 	})
 
+	// Guards against an irreversible request that runs twice: net/http resends a request that has an idempotency key when
+	// a reused connection breaks.
 	DescribeTable("does not let net/http resend a keyed request on a reused connection",
 		func(body string) {
 			response, err := client.Do(context.Background(), post(body))
 			Expect(err).NotTo(HaveOccurred())
 			got, err := io.ReadAll(response.HTTP.Body)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(string(got)).To(Equal("k1"), "the key must still reach the upstream")
+			Expect(string(got)).To(Equal("k1"), "idempotency key that the upstream received")
 			Expect(response.HTTP.Body.Close()).To(Succeed())
 
 			breakConnection.Store(true)
@@ -73,7 +75,7 @@
 		Entry("with a body", "belt=black"),
 	)
 
-	It("proves that a refused connection did not run the request", func() {
+	It("returns ErrNotWritten when the connection is refused", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := listener.Addr().String()
