--- a/transport/rpc/client.go
+++ b/transport/rpc/client.go
@@ -29,8 +29,8 @@
 
 // Pool holds one connection for each peer address. It is safe for concurrent use.
 type Pool struct {
-	dialer    Dialer
-	transport credentials.TransportCredentials
+	dialer Dialer
+	creds  credentials.TransportCredentials
 
 	mu     sync.Mutex
 	conns  map[string]*grpc.ClientConn
@@ -38,16 +38,16 @@
 }
 
 // NewPool returns an empty pool. A nil transport means no TLS; a nil dialer dials TCP.
-func NewPool(dialer Dialer, transport credentials.TransportCredentials) *Pool {
-	if transport == nil {
-		transport = insecure.NewCredentials()
+func NewPool(dialer Dialer, creds credentials.TransportCredentials) *Pool {
+	if creds == nil {
+		creds = insecure.NewCredentials()
 	}
 	if dialer == nil {
 		dialer = func(ctx context.Context, address string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		}
 	}
-	return &Pool{dialer: dialer, transport: transport, conns: make(map[string]*grpc.ClientConn)}
+	return &Pool{dialer: dialer, creds: creds, conns: make(map[string]*grpc.ClientConn)}
 }
 
 func (p *Pool) conn(address string) (*grpc.ClientConn, error) {
@@ -60,15 +60,15 @@
 		return conn, nil
 	}
 	conn, err := grpc.NewClient("passthrough:///"+address,
-		grpc.WithTransportCredentials(p.transport),
+		grpc.WithTransportCredentials(p.creds),
 		grpc.WithContextDialer(p.dialer),
 		grpc.WithDefaultCallOptions(
 			grpc.ForceCodecV2(codec{}),
 			grpc.MaxCallRecvMsgSize(maxMessageBytes),
 			grpc.MaxCallSendMsgSize(maxMessageBytes),
 		),
-		grpc.WithInitialWindowSize(windowBytes),
-		grpc.WithInitialConnWindowSize(windowBytes),
+		grpc.WithInitialWindowSize(flowWindowBytes),
+		grpc.WithInitialConnWindowSize(flowWindowBytes),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{
@@ -123,7 +123,7 @@
 	}
 	stream, err := conn.NewStream(ctx, desc, method)
 	if err != nil {
-		return nil, errors.Wrapf(translate(err), "open stream to %s", address)
+		return nil, errors.Wrapf(toTransportError(err), "open stream to %s", address)
 	}
 	return &grpc.GenericClientStream[Req, Res]{ClientStream: stream}, nil
 }
@@ -170,7 +170,7 @@
 	}
 	reply := new(Reply)
 	if err := conn.Invoke(ctx, method, request, reply); err != nil {
-		return nil, errors.Wrapf(translate(err), "%s at %s", method, address)
+		return nil, errors.Wrapf(toTransportError(err), "%s at %s", method, address)
 	}
 	return reply, nil
 }
--- a/transport/rpc/errors.go
+++ b/transport/rpc/errors.go
@@ -20,8 +20,8 @@
 	ErrRejected = errors.New("rpc: peer rejected the message")
 )
 
-// translate turns errors of grpc-go into those of this layer.
-func translate(err error) error {
+// toTransportError turns errors of grpc-go into those of this layer.
+func toTransportError(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/transport/rpc/rpc_test.go
+++ b/transport/rpc/rpc_test.go
@@ -28,7 +28,7 @@
 	"sapphiregate.example/sapphiregate/transport/rpc"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func TestRPC(t *testing.T) {
 	RegisterFailHandler(Fail)
@@ -42,11 +42,11 @@
 	pem         []byte
 }
 
-func encode(kind string, der []byte) []byte {
+func encodePEM(kind string, der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-func issue(parent *authority, template *x509.Certificate) (*ecdsa.PrivateKey, []byte) {
+func issueCertificate(parent *authority, template *x509.Certificate) (*ecdsa.PrivateKey, []byte) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
 	template.SerialNumber = big.NewInt(time.Now().UnixNano())
@@ -61,17 +61,17 @@
 }
 
 func newAuthority(name string) *authority {
-	key, der := issue(nil, &x509.Certificate{
+	key, der := issueCertificate(nil, &x509.Certificate{
 		Subject: pkix.Name{CommonName: name}, IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	})
 	certificate, err := x509.ParseCertificate(der)
 	Expect(err).NotTo(HaveOccurred())
-	return &authority{certificate: certificate, key: key, pem: encode("CERTIFICATE", der)}
+	return &authority{certificate: certificate, key: key, pem: encodePEM("CERTIFICATE", der)}
 }
 
-// write puts a new certificate of the authority into a folder, with the authorities that its owner accepts.
-func (a *authority) write(folder string, at time.Time, accepted ...*authority) rpc.TLSFiles {
-	key, der := issue(a, &x509.Certificate{
+// writeFiles puts a new certificate of the authority into a folder, with the authorities that its owner accepts.
+func (a *authority) writeFiles(folder string, modTime time.Time, accepted ...*authority) rpc.TLSFiles {
+	key, der := issueCertificate(a, &x509.Certificate{
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	})
@@ -85,32 +85,32 @@
 		Certificate: filepath.Join(folder, "cert"), Key: filepath.Join(folder, "key"),
 		Authorities: filepath.Join(folder, "ca"), ReloadInterval: time.Nanosecond,
 	}
-	put(files.Certificate, encode("CERTIFICATE", der), at)
-	put(files.Key, encode("EC PRIVATE KEY", keyDER), at)
-	put(files.Authorities, bundle, at)
+	writeFile(files.Certificate, encodePEM("CERTIFICATE", der), modTime)
+	writeFile(files.Key, encodePEM("EC PRIVATE KEY", keyDER), modTime)
+	writeFile(files.Authorities, bundle, modTime)
 	return files
 }
 
-// put writes a file with a given time of change, since a file system's clock may not tell two writes apart.
-func put(name string, data []byte, at time.Time) {
+// writeFile writes a file with a given time of change, since a file system's clock may not tell two writes apart.
+func writeFile(name string, data []byte, modTime time.Time) {
 	Expect(os.WriteFile(name, data, 0o600)).To(Succeed())
-	Expect(os.Chtimes(name, at, at)).To(Succeed())
+	Expect(os.Chtimes(name, modTime, modTime)).To(Succeed())
 }
 
-func identity(files rpc.TLSFiles) *rpc.Identity {
+func loadIdentity(files rpc.TLSFiles) *rpc.Identity {
 	loaded, err := rpc.LoadIdentity(files)
 	Expect(err).NotTo(HaveOccurred())
 	return loaded
 }
 
-// member answers Identify, and Propose with the error that it holds.
-type member struct {
+// fakeMember answers Identify, and Propose with the error that it holds.
+type fakeMember struct {
 	calls atomic.Int32
 	err   error
 	block bool
 }
 
-func (m *member) Propose(ctx context.Context, _ *protocol.ProposeRequest) (*protocol.ProposeReply, error) {
+func (m *fakeMember) Propose(ctx context.Context, _ *protocol.ProposeRequest) (*protocol.ProposeReply, error) {
 	m.calls.Add(1)
 	if m.block {
 		<-ctx.Done()
@@ -118,15 +118,15 @@
 	return &protocol.ProposeReply{}, m.err
 }
 
-func (m *member) Identify(context.Context, *protocol.IdentifyRequest) (*protocol.IdentifyReply, error) {
+func (m *fakeMember) Identify(context.Context, *protocol.IdentifyRequest) (*protocol.IdentifyReply, error) {
 	m.calls.Add(1)
 	return &protocol.IdentifyReply{Zone: "za"}, nil
 }
 
-func (m *member) Follow(rpc.FollowServerStream) error { return nil }
-func (m *member) Step(string, *protocol.StepFrame)    {}
+func (m *fakeMember) Follow(rpc.FollowServerStream) error { return nil }
+func (m *fakeMember) Step(string, *protocol.StepFrame)    {}
 
-func serve(m *member, transport credentials.TransportCredentials) *rpc.Server {
+func serve(m *fakeMember, transport credentials.TransportCredentials) *rpc.Server {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	server := rpc.NewServer(listener, transport)
@@ -136,10 +136,10 @@
 	return server
 }
 
-func identify(server *rpc.Server, transport credentials.TransportCredentials) error {
+func callIdentify(server *rpc.Server, transport credentials.TransportCredentials) error {
 	pool := rpc.NewPool(nil, transport)
 	defer pool.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, err := pool.Identify(ctx, server.Address(), &protocol.IdentifyRequest{})
 	return err
@@ -149,21 +149,21 @@
 	// Guards against processes that take messages from anyone who can connect.
 	It("admits only clients with a certificate of an accepted authority", func() {
 		ours, theirs, now := newAuthority("ours"), newAuthority("theirs"), time.Now()
-		m := &member{}
-		server := serve(m, identity(ours.write(GinkgoT().TempDir(), now, ours)).Credentials())
+		m := &fakeMember{}
+		server := serve(m, loadIdentity(ours.writeFiles(GinkgoT().TempDir(), now, ours)).Credentials())
 		roots := x509.NewCertPool()
 		roots.AddCert(ours.certificate)
 		refused := map[string]credentials.TransportCredentials{
 			"no certificate":        credentials.NewTLS(&tls.Config{RootCAs: roots}),
 			"no TLS":                nil,
-			"another authority":     identity(theirs.write(GinkgoT().TempDir(), now, ours)).Credentials(),
-			"a server it can't own": identity(ours.write(GinkgoT().TempDir(), now, theirs)).Credentials(),
+			"another authority":     loadIdentity(theirs.writeFiles(GinkgoT().TempDir(), now, ours)).Credentials(),
+			"a server it can't own": loadIdentity(ours.writeFiles(GinkgoT().TempDir(), now, theirs)).Credentials(),
 		}
 		for name, transport := range refused {
-			Expect(identify(server, transport)).To(MatchError(rpc.ErrUnreachable), name)
+			Expect(callIdentify(server, transport)).To(MatchError(rpc.ErrUnreachable), name)
 		}
 		Expect(m.calls.Load()).To(BeZero())
-		Expect(identify(server, identity(ours.write(GinkgoT().TempDir(), now, ours)).Credentials())).To(Succeed())
+		Expect(callIdentify(server, loadIdentity(ours.writeFiles(GinkgoT().TempDir(), now, ours)).Credentials())).To(Succeed())
 	})
 
 	// Guards against certificates that expire in memory after their files were replaced, and against an outage while
@@ -171,24 +171,24 @@
 	It("uses replaced files at the next handshake", func() {
 		before, after, now := newAuthority("before"), newAuthority("after"), time.Now()
 		folder := GinkgoT().TempDir()
-		files := before.write(folder, now, before)
-		server := serve(&member{}, identity(files).Credentials())
-		old := identity(before.write(GinkgoT().TempDir(), now, before)).Credentials()
-		renewed := identity(after.write(GinkgoT().TempDir(), now, after)).Credentials()
-		Expect(identify(server, old)).To(Succeed())
-		Expect(identify(server, renewed)).NotTo(Succeed())
-		put(files.Certificate, []byte("half-written"), now.Add(time.Second))
-		Expect(identify(server, old)).To(Succeed())
-		after.write(folder, now.Add(2*time.Second), after)
-		Expect(identify(server, renewed)).To(Succeed())
-		Expect(identify(server, old)).NotTo(Succeed())
+		files := before.writeFiles(folder, now, before)
+		server := serve(&fakeMember{}, loadIdentity(files).Credentials())
+		old := loadIdentity(before.writeFiles(GinkgoT().TempDir(), now, before)).Credentials()
+		renewed := loadIdentity(after.writeFiles(GinkgoT().TempDir(), now, after)).Credentials()
+		Expect(callIdentify(server, old)).To(Succeed())
+		Expect(callIdentify(server, renewed)).NotTo(Succeed())
+		writeFile(files.Certificate, []byte("half-written"), now.Add(time.Second))
+		Expect(callIdentify(server, old)).To(Succeed())
+		after.writeFiles(folder, now.Add(2*time.Second), after)
+		Expect(callIdentify(server, renewed)).To(Succeed())
+		Expect(callIdentify(server, old)).NotTo(Succeed())
 	})
 
 	// Guards against a process that starts with files it cannot use.
 	It("refuses unusable files at start", func() {
 		ours := newAuthority("ours")
-		files := ours.write(GinkgoT().TempDir(), time.Now(), ours)
-		put(files.Authorities, []byte("no certificate"), time.Now())
+		files := ours.writeFiles(GinkgoT().TempDir(), time.Now(), ours)
+		writeFile(files.Authorities, []byte("no certificate"), time.Now())
 		_, err := rpc.LoadIdentity(files)
 		Expect(err).To(MatchError(rpc.ErrCredentials))
 		Expect(os.Remove(files.Key)).To(Succeed())
@@ -198,15 +198,15 @@
 })
 
 // Guards against errors that mislead callers: only a rejection proves that the peer decided.
-var _ = DescribeTable("errors are translated", func(m *member, spoil func(*rpc.Pool, *rpc.Server), within time.Duration,
+var _ = DescribeTable("errors are translated", func(m *fakeMember, prepare func(*rpc.Pool, *rpc.Server), timeout time.Duration,
 	expected error) {
 	server := serve(m, nil)
 	pool := rpc.NewPool(nil, nil)
 	defer pool.Close()
-	spoil(pool, server)
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	prepare(pool, server)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	if within == 0 {
+	if timeout == 0 {
 		ctx, cancel = context.WithCancel(context.Background())
 		cancel()
 	}
@@ -217,13 +217,13 @@
 	}
 	Expect(err).To(MatchError(expected))
 },
-	Entry("an answer", &member{}, leave, patience, nil),
-	Entry("a passed deadline", &member{block: true}, leave, 100*time.Millisecond, rpc.ErrTimeout),
-	Entry("a caller that gave up", &member{block: true}, leave, time.Duration(0), rpc.ErrCanceled),
-	Entry("a refusal", &member{err: status.Error(codes.InvalidArgument, "no")}, leave, patience, rpc.ErrRejected),
-	Entry("a failure of the handler", &member{err: errors.New("broken")}, leave, patience, rpc.ErrUnreachable),
-	Entry("a closed pool", &member{}, func(p *rpc.Pool, _ *rpc.Server) { p.Close() }, patience, rpc.ErrCanceled),
-	Entry("a stopped server", &member{}, func(_ *rpc.Pool, s *rpc.Server) { s.Stop() }, patience, rpc.ErrUnreachable),
+	Entry("an answer", &fakeMember{}, keepRunning, testTimeout, nil),
+	Entry("a passed deadline", &fakeMember{block: true}, keepRunning, 100*time.Millisecond, rpc.ErrTimeout),
+	Entry("a caller that gave up", &fakeMember{block: true}, keepRunning, time.Duration(0), rpc.ErrCanceled),
+	Entry("a refusal", &fakeMember{err: status.Error(codes.InvalidArgument, "no")}, keepRunning, testTimeout, rpc.ErrRejected),
+	Entry("a failure of the handler", &fakeMember{err: errors.New("broken")}, keepRunning, testTimeout, rpc.ErrUnreachable),
+	Entry("a closed pool", &fakeMember{}, func(p *rpc.Pool, _ *rpc.Server) { p.Close() }, testTimeout, rpc.ErrCanceled),
+	Entry("a stopped server", &fakeMember{}, func(_ *rpc.Pool, s *rpc.Server) { s.Stop() }, testTimeout, rpc.ErrUnreachable),
 )
 
-func leave(*rpc.Pool, *rpc.Server) {}
+func keepRunning(*rpc.Pool, *rpc.Server) {}
--- a/transport/rpc/server.go
+++ b/transport/rpc/server.go
@@ -17,12 +17,12 @@
 	// keepaliveInterval finds connections whose peer is gone without a reset.
 	keepaliveInterval = 10 * time.Second
 	keepaliveTimeout  = 5 * time.Second
-	// minClientPing tolerates the clients' keepalive pings.
-	minClientPing = 5 * time.Second
-	// windowBytes lets one call's answer flow without waiting for window updates over a slow link.
-	windowBytes = 1 << 20
-	// workers reuses goroutines for calls; starting one per call costs stack growth.
-	workers = 16
+	// minPingInterval tolerates the clients' keepalive pings.
+	minPingInterval = 5 * time.Second
+	// flowWindowBytes lets one call's answer flow without waiting for window updates over a slow link.
+	flowWindowBytes = 1 << 20
+	// streamWorkers reuses goroutines for calls; starting one per call costs stack growth.
+	streamWorkers = 16
 )
 
 // Server serves the messages of one process.
@@ -32,21 +32,21 @@
 }
 
 // NewServer prepares a server on an open listener. A nil transport means no TLS.
-func NewServer(listener net.Listener, transport credentials.TransportCredentials) *Server {
-	if transport == nil {
-		transport = insecure.NewCredentials()
+func NewServer(listener net.Listener, creds credentials.TransportCredentials) *Server {
+	if creds == nil {
+		creds = insecure.NewCredentials()
 	}
 	server := grpc.NewServer(
-		grpc.Creds(transport),
+		grpc.Creds(creds),
 		grpc.ForceServerCodecV2(codec{}),
 		grpc.MaxRecvMsgSize(maxMessageBytes),
 		grpc.MaxSendMsgSize(maxMessageBytes),
-		grpc.InitialWindowSize(windowBytes),
-		grpc.InitialConnWindowSize(windowBytes),
-		grpc.NumStreamWorkers(workers),
+		grpc.InitialWindowSize(flowWindowBytes),
+		grpc.InitialConnWindowSize(flowWindowBytes),
+		grpc.NumStreamWorkers(streamWorkers),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
-			MinTime: minClientPing, PermitWithoutStream: true,
+			MinTime: minPingInterval, PermitWithoutStream: true,
 		}),
 	)
 	return &Server{server: server, listener: listener}
@@ -54,22 +54,22 @@
 
 // ServeNode registers a node's handlers.
 func (s *Server) ServeNode(handler nodeHandler) {
-	s.server.RegisterService(&callDesc, handler)
+	s.server.RegisterService(&nodeServiceDesc, handler)
 }
 
 // ServeMember registers a control member's handlers.
 func (s *Server) ServeMember(handler interface {
 	Follower
 	Proposer
-	Stepper
+	StepReceiver
 }) {
-	s.server.RegisterService(&followDesc, handler)
-	s.server.RegisterService(&controlDesc, handler)
-	s.server.RegisterService(&stepDesc, handler)
+	s.server.RegisterService(&followServiceDesc, handler)
+	s.server.RegisterService(&controlServiceDesc, handler)
+	s.server.RegisterService(&raftServiceDesc, handler)
 }
 
 // Serve accepts connections until the server stops.
-func (s *Server) Serve() error { return translate(s.server.Serve(s.listener)) }
+func (s *Server) Serve() error { return toTransportError(s.server.Serve(s.listener)) }
 
 // Address is the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
--- a/transport/rpc/service.go
+++ b/transport/rpc/service.go
@@ -49,8 +49,8 @@
 	Identify(ctx context.Context, request *protocol.IdentifyRequest) (*protocol.IdentifyReply, error)
 }
 
-// Stepper receives messages of the replicated logs.
-type Stepper interface {
+// StepReceiver receives messages of the replicated logs.
+type StepReceiver interface {
 	// Step takes a frame of the member at the given mesh address.
 	Step(address string, frame *protocol.StepFrame)
 }
@@ -64,7 +64,7 @@
 	methodStep     = "/sapphiregate.Raft/Step"
 )
 
-var followDesc = grpc.ServiceDesc{
+var followServiceDesc = grpc.ServiceDesc{
 	ServiceName: "sapphiregate.Mesh",
 	HandlerType: (*Follower)(nil),
 	Streams: []grpc.StreamDesc{{
@@ -76,11 +76,11 @@
 	}},
 }
 
-var callDesc = grpc.ServiceDesc{
+var nodeServiceDesc = grpc.ServiceDesc{
 	ServiceName: "sapphiregate.Mesh",
 	HandlerType: (*nodeHandler)(nil),
 	Methods:     []grpc.MethodDesc{{MethodName: "Ping", Handler: unary(methodPing, Pinger.Ping)}},
-	Streams: []grpc.StreamDesc{followDesc.Streams[0], {
+	Streams: []grpc.StreamDesc{followServiceDesc.Streams[0], {
 		StreamName: "Call", ServerStreams: true, ClientStreams: true,
 		Handler: func(server any, stream grpc.ServerStream) error {
 			typed := &grpc.GenericServerStream[protocol.CallFrame, protocol.ReplyFrame]{ServerStream: stream}
@@ -96,7 +96,7 @@
 	Pinger
 }
 
-var controlDesc = grpc.ServiceDesc{
+var controlServiceDesc = grpc.ServiceDesc{
 	ServiceName: "sapphiregate.Control",
 	HandlerType: (*Proposer)(nil),
 	Methods: []grpc.MethodDesc{
@@ -126,19 +126,19 @@
 	}
 }
 
-var stepDesc = grpc.ServiceDesc{
+var raftServiceDesc = grpc.ServiceDesc{
 	ServiceName: "sapphiregate.Raft",
-	HandlerType: (*Stepper)(nil),
+	HandlerType: (*StepReceiver)(nil),
 	Streams: []grpc.StreamDesc{{
 		StreamName: "Step", ClientStreams: true,
 		Handler: func(server any, stream grpc.ServerStream) error {
 			typed := &grpc.GenericServerStream[protocol.StepFrame, protocol.StepAck]{ServerStream: stream}
-			return receiveSteps(server.(Stepper), typed)
+			return receiveSteps(server.(StepReceiver), typed)
 		},
 	}},
 }
 
-func receiveSteps(stepper Stepper, stream StepServerStream) error {
+func receiveSteps(stepper StepReceiver, stream StepServerStream) error {
 	address := ""
 	for {
 		frame, err := stream.Recv()
--- a/transport/rpc/tls.go
+++ b/transport/rpc/tls.go
@@ -33,10 +33,10 @@
 type Identity struct {
 	files TLSFiles
 
-	mu      sync.Mutex
-	checked time.Time
-	changed [3]time.Time
-	current *tls.Config
+	mu             sync.Mutex
+	checkedAt      time.Time
+	loadedModTimes [3]time.Time
+	config         *tls.Config
 }
 
 // LoadIdentity reads the files once, so that unusable files are found at start.
@@ -62,19 +62,19 @@
 	if !authorities.AppendCertsFromPEM(pem) {
 		return errors.Wrapf(ErrCredentials, "%s holds no certificate", i.files.Authorities)
 	}
-	i.current = &tls.Config{
+	i.config = &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{certificate},
 		RootCAs:      authorities,
 		ClientCAs:    authorities,
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 	}
-	i.changed = i.modified()
-	i.checked = time.Now()
+	i.loadedModTimes = i.modTimes()
+	i.checkedAt = time.Now()
 	return nil
 }
 
-func (i *Identity) modified() [3]time.Time {
+func (i *Identity) modTimes() [3]time.Time {
 	var times [3]time.Time
 	for index, name := range []string{i.files.Certificate, i.files.Key, i.files.Authorities} {
 		if info, err := os.Stat(name); err == nil {
@@ -88,13 +88,13 @@
 func (i *Identity) Config() *tls.Config {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if time.Since(i.checked) >= i.files.ReloadInterval {
-		i.checked = time.Now()
-		if i.modified() != i.changed {
+	if time.Since(i.checkedAt) >= i.files.ReloadInterval {
+		i.checkedAt = time.Now()
+		if i.modTimes() != i.loadedModTimes {
 			_ = i.load()
 		}
 	}
-	return i.current
+	return i.config
 }
 
 // ServerConfig returns settings for servers, which look up the newest files at each handshake.
