--- a/transport/rpc/client.go
+++ b/transport/rpc/client.go
@@ -16,18 +16,18 @@
 	"sapphiregate.example/sapphiregate/protocol"
 )
 
-// Dialer opens a connection to an IP address and port.
+// Dialer opens a connection to an address that consists of an IP address and a port.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// reconnectDelay bounds the wait before a broken connection is dialled again; peers are few hops away and the
-// callers of this package spread their own retries.
+// Limits of connecting. The delay between attempts to reconnect grows from reconnectDelay to maxReconnectDelay. Both
+// are short because peers are few hops away and the callers of this package spread their own retries.
 const (
 	reconnectDelay    = 100 * time.Millisecond
 	maxReconnectDelay = time.Second
 	connectTimeout    = 2 * time.Second
 )
 
-// Pool holds one connection for each peer address. It is safe for concurrent use.
+// Pool opens and keeps one client connection for each peer address. It is safe for concurrent use.
 type Pool struct {
 	dialer Dialer
 	creds  credentials.TransportCredentials
@@ -37,7 +37,7 @@
 	closed bool
 }
 
-// NewPool returns an empty pool. A nil transport means no TLS; a nil dialer dials TCP.
+// NewPool returns an empty pool. Without credentials, connections use no TLS; without a dialer, they use TCP.
 func NewPool(dialer Dialer, creds credentials.TransportCredentials) *Pool {
 	if creds == nil {
 		creds = insecure.NewCredentials()
@@ -50,6 +50,7 @@
 	return &Pool{dialer: dialer, creds: creds, conns: make(map[string]*grpc.ClientConn)}
 }
 
+// conn returns the connection to an address and creates it if there is none. grpc-go dials at the first use.
 func (p *Pool) conn(address string) (*grpc.ClientConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,6 +115,7 @@
 	stepStream   = grpc.StreamDesc{StreamName: "Step", ClientStreams: true}
 )
 
+// openStream opens a stream of the given method. The stream ends with the context.
 func openStream[Req, Res any](
 	ctx context.Context, p *Pool, address string, desc *grpc.StreamDesc, method string,
 ) (*grpc.GenericClientStream[Req, Res], error) {
@@ -128,41 +130,45 @@
 	return &grpc.GenericClientStream[Req, Res]{ClientStream: stream}, nil
 }
 
-// Follow opens a Follow stream. The stream ends with the context.
+// Follow opens a Follow stream, over which the distribution tree exchanges its messages. The stream ends with the
+// context.
 func (p *Pool) Follow(ctx context.Context, address string) (FollowClientStream, error) {
 	return openStream[protocol.FollowFrame, protocol.FollowFrame](ctx, p, address, &followStream, methodFollow)
 }
 
-// Call opens a Call stream. An error means that nothing was sent. The stream ends with the context.
+// Call opens a Call stream, which carries one call to another node. An error means that nothing was sent. The stream
+// ends with the context.
 func (p *Pool) Call(ctx context.Context, address string) (CallClientStream, error) {
 	return openStream[protocol.CallFrame, protocol.ReplyFrame](ctx, p, address, &callStream, methodCall)
 }
 
-// Ping probes the process at an address.
+// Ping checks whether the node at an address responds.
 func (p *Pool) Ping(ctx context.Context, address string) (*protocol.PingReply, error) {
 	return invoke[protocol.PingReply](ctx, p, address, methodPing, &protocol.PingRequest{})
 }
 
-// Step opens a stream of log messages.
+// Step opens a Step stream, which carries messages of the replicated logs to a control member. The stream ends with the
+// context.
 func (p *Pool) Step(ctx context.Context, address string) (StepClientStream, error) {
 	return openStream[protocol.StepFrame, protocol.StepAck](ctx, p, address, &stepStream, methodStep)
 }
 
-// Propose sends a proposal and waits for its reply. After ErrUnreachable, ErrTimeout or ErrCanceled the command may
-// still be committed.
+// Propose sends a proposal to a control member and waits for the reply. After ErrUnreachable, ErrTimeout or ErrCanceled
+// the proposed command may still be committed.
 func (p *Pool) Propose(
 	ctx context.Context, address string, request *protocol.ProposeRequest,
 ) (*protocol.ProposeReply, error) {
 	return invoke[protocol.ProposeReply](ctx, p, address, methodPropose, request)
 }
 
-// Identify asks a control member who it is.
+// Identify asks a control member for its identity and for the groups that it belongs to.
 func (p *Pool) Identify(
 	ctx context.Context, address string, request *protocol.IdentifyRequest,
 ) (*protocol.IdentifyReply, error) {
 	return invoke[protocol.IdentifyReply](ctx, p, address, methodIdentify, request)
 }
 
+// invoke makes a unary call.
 func invoke[Reply any](ctx context.Context, p *Pool, address, method string, request any) (*Reply, error) {
 	conn, err := p.conn(address)
 	if err != nil {
--- a/transport/rpc/codec.go
+++ b/transport/rpc/codec.go
@@ -1,4 +1,4 @@
-// Package rpc carries messages between sapphiregate's processes with grpc-go and a CBOR codec.
+// Package rpc carries messages between the processes of sapphiregate over gRPC, encoded as CBOR.
 package rpc
 
 import (
@@ -7,7 +7,7 @@
 	"sapphiregate.example/sapphiregate/protocol"
 )
 
-// codec encodes the plain Go structs of package protocol, so that no generated code is needed.
+// codec encodes the Go structs of package protocol as CBOR, so that no generated code is needed.
 type codec struct{}
 
 // Name is the content subtype of the wire format.
@@ -22,7 +22,8 @@
 	return mem.BufferSlice{mem.SliceBuffer(data)}, nil
 }
 
-// Unmarshal decodes a message. The decoder copies byte strings, so that nothing refers to the freed buffer.
+// Unmarshal decodes a message. The decoder copies byte strings, so the message does not refer to the buffer, which
+// grpc-go reuses.
 func (codec) Unmarshal(data mem.BufferSlice, message any) error {
 	return protocol.Unmarshal(data.Materialize(), message)
 }
--- a/transport/rpc/errors.go
+++ b/transport/rpc/errors.go
@@ -10,17 +10,17 @@
 
 // Errors of the transport layer.
 var (
-	// ErrUnreachable means that the peer was not reached or the connection broke.
+	// ErrUnreachable means that the peer was not reached, that the connection broke, or that the peer's handler failed.
 	ErrUnreachable = errors.New("rpc: peer is unreachable")
-	// ErrTimeout means that the deadline passed.
+	// ErrTimeout means that the deadline passed before the reply arrived.
 	ErrTimeout = errors.New("rpc: deadline exceeded")
-	// ErrCanceled means that the caller gave up.
+	// ErrCanceled means that the caller canceled its context or closed the pool.
 	ErrCanceled = errors.New("rpc: canceled")
-	// ErrRejected means that the peer refused the message.
+	// ErrRejected means that the peer received the message and refused it.
 	ErrRejected = errors.New("rpc: peer rejected the message")
 )
 
-// toTransportError turns errors of grpc-go into those of this layer.
+// toTransportError converts an error of grpc-go into one of the errors of this package. A nil error stays nil.
 func toTransportError(err error) error {
 	if err == nil {
 		return nil
--- a/transport/rpc/rpc_test.go
+++ b/transport/rpc/rpc_test.go
@@ -69,7 +69,8 @@
 	return &authority{certificate: certificate, key: key, pem: encodePEM("CERTIFICATE", der)}
 }
 
-// writeFiles puts a new certificate of the authority into a folder, with the authorities that its owner accepts.
+// writeFiles writes the TLS files of a process: a new certificate of this authority, its key, and the authorities that
+// the process accepts.
 func (a *authority) writeFiles(folder string, modTime time.Time, accepted ...*authority) rpc.TLSFiles {
 	key, der := issueCertificate(a, &x509.Certificate{
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature,
@@ -91,7 +92,7 @@
 	return files
 }
 
-// writeFile writes a file with a given time of change, since a file system's clock may not tell two writes apart.
+// writeFile writes a file and sets its modification time, because two writes in quick succession may get the same one.
 func writeFile(name string, data []byte, modTime time.Time) {
 	Expect(os.WriteFile(name, data, 0o600)).To(Succeed())
 	Expect(os.Chtimes(name, modTime, modTime)).To(Succeed())
@@ -103,7 +104,8 @@
 	return loaded
 }
 
-// fakeMember answers Identify, and Propose with the error that it holds.
+// fakeMember counts the calls of Propose and Identify. Propose returns err, and waits for the end of its context if
+// block is set.
 type fakeMember struct {
 	calls atomic.Int32
 	err   error
@@ -136,6 +138,7 @@
 	return server
 }
 
+// callIdentify sends Identify to the server over a connection of its own.
 func callIdentify(server *rpc.Server, transport credentials.TransportCredentials) error {
 	pool := rpc.NewPool(nil, transport)
 	defer pool.Close()
@@ -146,7 +149,7 @@
 }
 
 var _ = Describe("mutual TLS", func() {
-	// Guards against processes that take messages from anyone who can connect.
+	// Guards against a process that accepts messages from any client that can connect to it.
 	It("admits only clients with a certificate of an accepted authority", func() {
 		ours, theirs, now := newAuthority("ours"), newAuthority("theirs"), time.Now()
 		m := &fakeMember{}
@@ -154,10 +157,10 @@
 		roots := x509.NewCertPool()
 		roots.AddCert(ours.certificate)
 		refused := map[string]credentials.TransportCredentials{
-			"no certificate":        credentials.NewTLS(&tls.Config{RootCAs: roots}),
-			"no TLS":                nil,
-			"another authority":     loadIdentity(theirs.writeFiles(GinkgoT().TempDir(), now, ours)).Credentials(),
-			"a server it can't own": loadIdentity(ours.writeFiles(GinkgoT().TempDir(), now, theirs)).Credentials(),
+			"client without a certificate":                       credentials.NewTLS(&tls.Config{RootCAs: roots}),
+			"client without TLS":                                 nil,
+			"client certificate of another authority":            loadIdentity(theirs.writeFiles(GinkgoT().TempDir(), now, ours)).Credentials(),
+			"client that does not accept the server's authority": loadIdentity(ours.writeFiles(GinkgoT().TempDir(), now, theirs)).Credentials(),
 		}
 		for name, transport := range refused {
 			Expect(callIdentify(server, transport)).To(MatchError(rpc.ErrUnreachable), name)
@@ -166,9 +169,9 @@
 		Expect(callIdentify(server, loadIdentity(ours.writeFiles(GinkgoT().TempDir(), now, ours)).Credentials())).To(Succeed())
 	})
 
-	// Guards against certificates that expire in memory after their files were replaced, and against an outage while
-	// the files are half-written.
-	It("uses replaced files at the next handshake", func() {
+	// Guards against a process that keeps using an expired certificate after its file was replaced, and against a process
+	// that refuses all connections while a file is half-written.
+	It("uses replaced files from the next handshake on", func() {
 		before, after, now := newAuthority("before"), newAuthority("after"), time.Now()
 		folder := GinkgoT().TempDir()
 		files := before.writeFiles(folder, now, before)
@@ -184,8 +187,8 @@
 		Expect(callIdentify(server, old)).NotTo(Succeed())
 	})
 
-	// Guards against a process that starts with files it cannot use.
-	It("refuses unusable files at start", func() {
+	// Guards against a process that starts with unusable files and then refuses all connections.
+	It("returns an error for unusable files at the start", func() {
 		ours := newAuthority("ours")
 		files := ours.writeFiles(GinkgoT().TempDir(), time.Now(), ours)
 		writeFile(files.Authorities, []byte("no certificate"), time.Now())
@@ -197,8 +200,9 @@
 	})
 })
 
-// Guards against errors that mislead callers: only a rejection proves that the peer decided.
-var _ = DescribeTable("errors are translated", func(m *fakeMember, prepare func(*rpc.Pool, *rpc.Server), timeout time.Duration,
+// Guards against an error that misleads the caller: only ErrRejected proves that the peer received the message and
+// refused it. After any other error the peer may still have carried it out.
+var _ = DescribeTable("errors of grpc-go become errors of the package", func(m *fakeMember, prepare func(*rpc.Pool, *rpc.Server), timeout time.Duration,
 	expected error) {
 	server := serve(m, nil)
 	pool := rpc.NewPool(nil, nil)
@@ -217,13 +221,14 @@
 	}
 	Expect(err).To(MatchError(expected))
 },
-	Entry("an answer", &fakeMember{}, keepRunning, testTimeout, nil),
-	Entry("a passed deadline", &fakeMember{block: true}, keepRunning, 100*time.Millisecond, rpc.ErrTimeout),
-	Entry("a caller that gave up", &fakeMember{block: true}, keepRunning, time.Duration(0), rpc.ErrCanceled),
-	Entry("a refusal", &fakeMember{err: status.Error(codes.InvalidArgument, "no")}, keepRunning, testTimeout, rpc.ErrRejected),
-	Entry("a failure of the handler", &fakeMember{err: errors.New("broken")}, keepRunning, testTimeout, rpc.ErrUnreachable),
+	Entry("a reply", &fakeMember{}, keepRunning, testTimeout, nil),
+	Entry("a deadline that passes before the reply", &fakeMember{block: true}, keepRunning, 100*time.Millisecond, rpc.ErrTimeout),
+	Entry("a canceled context", &fakeMember{block: true}, keepRunning, time.Duration(0), rpc.ErrCanceled),
+	Entry("a request that the handler refuses", &fakeMember{err: status.Error(codes.InvalidArgument, "no")}, keepRunning, testTimeout, rpc.ErrRejected),
+	Entry("a handler that fails", &fakeMember{err: errors.New("broken")}, keepRunning, testTimeout, rpc.ErrUnreachable),
 	Entry("a closed pool", &fakeMember{}, func(p *rpc.Pool, _ *rpc.Server) { p.Close() }, testTimeout, rpc.ErrCanceled),
 	Entry("a stopped server", &fakeMember{}, func(_ *rpc.Pool, s *rpc.Server) { s.Stop() }, testTimeout, rpc.ErrUnreachable),
 )
 
+// keepRunning leaves the pool and the server as they are.
 func keepRunning(*rpc.Pool, *rpc.Server) {}
--- a/transport/rpc/server.go
+++ b/transport/rpc/server.go
@@ -12,26 +12,31 @@
 )
 
 const (
-	// maxMessageBytes admits a whole compressed bundle and a snapshot of the registry in one message.
+	// maxMessageBytes is large enough for a whole compressed bundle or a snapshot of the registry in one message.
 	maxMessageBytes = 64 << 20
-	// keepaliveInterval finds connections whose peer is gone without a reset.
+	// keepaliveInterval is the time without traffic after which a connection is probed. Probes detect a peer that
+	// disappeared without a reset.
 	keepaliveInterval = 10 * time.Second
 	keepaliveTimeout  = 5 * time.Second
-	// minPingInterval tolerates the clients' keepalive pings.
+	// minPingInterval is the shortest interval of keepalive pings that a server accepts. It must be below the clients'
+	// keepaliveInterval.
 	minPingInterval = 5 * time.Second
-	// flowWindowBytes lets one call's answer flow without waiting for window updates over a slow link.
+	// flowWindowBytes is the flow control window of a stream and of a connection. It is large enough that one response
+	// does not wait for window updates over a slow link.
 	flowWindowBytes = 1 << 20
-	// streamWorkers reuses goroutines for calls; starting one per call costs stack growth.
+	// streamWorkers is the number of reused goroutines that handle streams; a new goroutine per call must grow its stack
+	// each time.
 	streamWorkers = 16
 )
 
-// Server serves the messages of one process.
+// Server is the gRPC server of one process.
 type Server struct {
 	server   *grpc.Server
 	listener net.Listener
 }
 
-// NewServer prepares a server on an open listener. A nil transport means no TLS.
+// NewServer returns a server for an open listener. Without credentials, connections use no TLS. Register handlers
+// before Serve.
 func NewServer(listener net.Listener, creds credentials.TransportCredentials) *Server {
 	if creds == nil {
 		creds = insecure.NewCredentials()
@@ -52,12 +57,12 @@
 	return &Server{server: server, listener: listener}
 }
 
-// ServeNode registers a node's handlers.
+// ServeNode registers the handlers of a node.
 func (s *Server) ServeNode(handler nodeHandler) {
 	s.server.RegisterService(&nodeServiceDesc, handler)
 }
 
-// ServeMember registers a control member's handlers.
+// ServeMember registers the handlers of a control member.
 func (s *Server) ServeMember(handler interface {
 	Follower
 	Proposer
@@ -71,13 +76,13 @@
 // Serve accepts connections until the server stops.
 func (s *Server) Serve() error { return toTransportError(s.server.Serve(s.listener)) }
 
-// Address is the address that the server listens on.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Stop closes all connections at once.
+// Stop closes all connections immediately.
 func (s *Server) Stop() { s.server.Stop() }
 
-// GracefulStop refuses new streams and waits for open ones until the context ends.
+// GracefulStop refuses new streams and waits for open ones. When the context ends, it closes the remaining connections.
 func (s *Server) GracefulStop(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
--- a/transport/rpc/service.go
+++ b/transport/rpc/service.go
@@ -8,50 +8,50 @@
 	"sapphiregate.example/sapphiregate/protocol"
 )
 
-// The streams that servers hand to their handlers.
+// The streams that a server passes to its handlers.
 type (
 	// FollowServerStream is the parent's side of a Follow stream.
 	FollowServerStream = grpc.BidiStreamingServer[protocol.FollowFrame, protocol.FollowFrame]
-	// CallServerStream is the executor's side of a Call stream.
+	// CallServerStream is the side of a Call stream that belongs to the executor: the node whose upstream runs the call.
 	CallServerStream = grpc.BidiStreamingServer[protocol.CallFrame, protocol.ReplyFrame]
 	// StepServerStream is the receiving side of a Step stream.
 	StepServerStream = grpc.ClientStreamingServer[protocol.StepFrame, protocol.StepAck]
 )
 
-// The streams that clients hold.
+// The streams that a client opens.
 type (
 	// FollowClientStream is the child's side of a Follow stream.
 	FollowClientStream = grpc.BidiStreamingClient[protocol.FollowFrame, protocol.FollowFrame]
-	// CallClientStream is the ingress's side of a Call stream.
+	// CallClientStream is the side of a Call stream that belongs to the ingress: the node that received the request.
 	CallClientStream = grpc.BidiStreamingClient[protocol.CallFrame, protocol.ReplyFrame]
 	// StepClientStream is the sending side of a Step stream.
 	StepClientStream = grpc.ClientStreamingClient[protocol.StepFrame, protocol.StepAck]
 )
 
-// Follower serves Follow streams of nodes and members.
+// Follower serves the Follow streams that nodes and control members open.
 type Follower interface {
 	Follow(stream FollowServerStream) error
 }
 
-// Executor serves Call streams.
+// Executor serves the Call streams that other nodes open.
 type Executor interface {
 	Call(stream CallServerStream) error
 }
 
-// Pinger responds to probes.
+// Pinger responds to Ping, with which other processes check whether this one responds.
 type Pinger interface {
 	Ping(ctx context.Context, request *protocol.PingRequest) (*protocol.PingReply, error)
 }
 
-// Proposer serves proposals and tells who the member is.
+// Proposer accepts proposals for the replicated logs and reports the identity of the control member.
 type Proposer interface {
 	Propose(ctx context.Context, request *protocol.ProposeRequest) (*protocol.ProposeReply, error)
 	Identify(ctx context.Context, request *protocol.IdentifyRequest) (*protocol.IdentifyReply, error)
 }
 
-// StepReceiver receives messages of the replicated logs.
+// StepReceiver receives the messages of the replicated logs.
 type StepReceiver interface {
-	// Step takes a frame of the member at the given mesh address.
+	// Step handles a frame that the member at the given mesh address sent.
 	Step(address string, frame *protocol.StepFrame)
 }
 
@@ -89,7 +89,7 @@
 	}},
 }
 
-// nodeHandler is what a node serves.
+// nodeHandler is the set of handlers of a node.
 type nodeHandler interface {
 	Follower
 	Executor
@@ -105,7 +105,7 @@
 	},
 }
 
-// unary adapts a typed method to grpc-go's handler signature.
+// unary adapts a typed method to the handler signature of grpc-go.
 func unary[Server, Request, Reply any](
 	method string, call func(Server, context.Context, *Request) (*Reply, error),
 ) grpc.MethodHandler {
@@ -138,6 +138,8 @@
 	}},
 }
 
+// receiveSteps passes the frames of a stream to the receiver. A frame without an address comes from the same sender as
+// the frame before it.
 func receiveSteps(stepper StepReceiver, stream StepServerStream) error {
 	address := ""
 	for {
--- a/transport/rpc/tls.go
+++ b/transport/rpc/tls.go
@@ -14,22 +14,24 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// ErrCredentials reports key or certificate files that cannot be used.
+// ErrCredentials means that a certificate, key or authorities file cannot be read or used.
 var ErrCredentials = errors.New("rpc: unusable TLS files")
 
-// TLSFiles names the files of a process's certificate, its key, and the authorities that it accepts.
+// TLSFiles names the PEM files with the certificate of a process, its key, and the certificate authorities that it
+// accepts.
 type TLSFiles struct {
 	Certificate string
 	Key         string
 	Authorities string
-	// ReloadInterval bounds how long a replaced file stays unnoticed; 0 takes 5 s.
+	// ReloadInterval is the least time between two checks for replaced files; 0 means 5 s.
 	ReloadInterval time.Duration
 }
 
 // defaultReloadInterval is used if TLSFiles sets no interval.
 const defaultReloadInterval = 5 * time.Second
 
-// Identity is a certificate with its authorities that is read again when its files change. Safe for concurrent use.
+// Identity holds the certificate of a process and the accepted authorities. It reads them again when their files
+// change. It is safe for concurrent use.
 type Identity struct {
 	files TLSFiles
 
@@ -39,7 +41,7 @@
 	config         *tls.Config
 }
 
-// LoadIdentity reads the files once, so that unusable files are found at start.
+// LoadIdentity reads the files, so that a process with unusable files fails at its start. The error is ErrCredentials.
 func LoadIdentity(files TLSFiles) (*Identity, error) {
 	files.ReloadInterval = cmp.Or(files.ReloadInterval, defaultReloadInterval)
 	identity := &Identity{files: files}
@@ -49,6 +51,7 @@
 	return identity, nil
 }
 
+// load reads the files. After an error the previous configuration stays in use.
 func (i *Identity) load() error {
 	certificate, err := tls.LoadX509KeyPair(i.files.Certificate, i.files.Key)
 	if err != nil {
@@ -74,6 +77,7 @@
 	return nil
 }
 
+// modTimes returns the modification times of the files; the time of a file that cannot be examined is zero.
 func (i *Identity) modTimes() [3]time.Time {
 	var times [3]time.Time
 	for index, name := range []string{i.files.Certificate, i.files.Key, i.files.Authorities} {
@@ -84,7 +88,8 @@
 	return times
 }
 
-// Config returns the TLS settings of the newest readable files. Half-written files leave the old ones in use.
+// Config returns the TLS configuration from the current files. While they cannot be used, for example because they are
+// half-written, it returns the previous configuration.
 func (i *Identity) Config() *tls.Config {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -97,7 +102,8 @@
 	return i.config
 }
 
-// ServerConfig returns settings for servers, which look up the newest files at each handshake.
+// ServerConfig returns a configuration for servers that uses the current files at each handshake. The protocols are
+// those that ALPN offers.
 func (i *Identity) ServerConfig(protocols ...string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -110,32 +116,37 @@
 	}
 }
 
-// Credentials returns gRPC credentials for both sides of mutual TLS.
+// Credentials returns gRPC credentials for clients and servers that authenticate each other with TLS.
 func (i *Identity) Credentials() credentials.TransportCredentials {
 	return &reloadingCredentials{identity: i}
 }
 
-// reloadingCredentials builds the handshake from the newest files each time.
+// reloadingCredentials uses the current files at each handshake.
 type reloadingCredentials struct {
 	identity *Identity
 }
 
+// ClientHandshake implements credentials.TransportCredentials.
 func (c *reloadingCredentials) ClientHandshake(
 	ctx context.Context, authority string, conn net.Conn,
 ) (net.Conn, credentials.AuthInfo, error) {
 	return credentials.NewTLS(c.identity.Config().Clone()).ClientHandshake(ctx, authority, conn)
 }
 
+// ServerHandshake implements credentials.TransportCredentials.
 func (c *reloadingCredentials) ServerHandshake(conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	return credentials.NewTLS(c.identity.Config().Clone()).ServerHandshake(conn)
 }
 
+// Info implements credentials.TransportCredentials.
 func (c *reloadingCredentials) Info() credentials.ProtocolInfo {
 	return credentials.ProtocolInfo{SecurityProtocol: "tls"}
 }
 
+// Clone implements credentials.TransportCredentials.
 func (c *reloadingCredentials) Clone() credentials.TransportCredentials {
 	return &reloadingCredentials{identity: c.identity}
 }
 
+// OverrideServerName implements credentials.TransportCredentials. It has no effect.
 func (c *reloadingCredentials) OverrideServerName(string) error { return nil }
