--- a/transport/rpc/server.go
+++ b/transport/rpc/server.go
@@ -12,72 +12,77 @@
 )
 
 const (
-	// maxMessageBytes admits a whole compressed bundle and a snapshot of the registry in one message.
+	// maxMessageBytes is large enough for a whole compressed bundle or a snapshot of the registry in one message.
 	maxMessageBytes = 64 << 20
-	// keepaliveInterval finds connections whose peer is gone without a reset.
+	// keepaliveInterval is the time without traffic after which a connection is probed. Probes detect a peer that
+	// disappeared without a reset.
 	keepaliveInterval = 10 * time.Second
 	keepaliveTimeout  = 5 * time.Second
-	// minClientPing tolerates the clients' keepalive pings.
-	minClientPing = 5 * time.Second
-	// windowBytes lets one call's answer flow without waiting for window updates over a slow link.
-	windowBytes = 1 << 20
-	// workers reuses goroutines for calls; starting one per call costs stack growth.
-	workers = 16
+	// minPingInterval is the shortest interval of keepalive pings that a server accepts. It must be below the clients'
+	// keepaliveInterval.
+	minPingInterval = 5 * time.Second
+	// flowWindowBytes is the flow control window of a stream and of a connection. It is large enough that one response
+	// does not wait for window updates over a slow link.
+	flowWindowBytes = 1 << 20
+	// streamWorkers is the number of reused goroutines that handle streams; a new goroutine per call must grow its stack
+	// each time.
+	streamWorkers = 16
 )
 
-// Server serves the messages of one process.
+// Server is the gRPC server of one process.
 type Server struct {
 	server   *grpc.Server
 	listener net.Listener
 }
 
-// NewServer prepares a server on an open listener. A nil transport means no TLS.
-func NewServer(listener net.Listener, transport credentials.TransportCredentials) *Server {
-	if transport == nil {
-		transport = insecure.NewCredentials()
+// NewServer returns a server for an open listener. Without credentials, connections use no TLS. Register handlers
+// before Serve.
+func NewServer(listener net.Listener, creds credentials.TransportCredentials) *Server {
+	if creds == nil {
+		creds = insecure.NewCredentials()
 	}
 	server := grpc.NewServer(
-		grpc.Creds(transport),
+		grpc.Creds(creds),
 		grpc.ForceServerCodecV2(codec{}),
 		grpc.MaxRecvMsgSize(maxMessageBytes),
 		grpc.MaxSendMsgSize(maxMessageBytes),
-		grpc.InitialWindowSize(windowBytes),
-		grpc.InitialConnWindowSize(windowBytes),
-		grpc.NumStreamWorkers(workers),
+		grpc.InitialWindowSize(flowWindowBytes),
+		grpc.InitialConnWindowSize(flowWindowBytes),
+		grpc.NumStreamWorkers(streamWorkers),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
-			MinTime: minClientPing, PermitWithoutStream: true,
+			MinTime: minPingInterval, PermitWithoutStream: true,
 		}),
 	)
 	return &Server{server: server, listener: listener}
 }
 
-// ServeNode registers a node's handlers.
+// ServeNode registers the handlers of a node.
 func (s *Server) ServeNode(handler nodeHandler) {
-	s.server.RegisterService(&callDesc, handler)
+	s.server.RegisterService(&nodeServiceDesc, handler)
 }
 
-// ServeMember registers a control member's handlers.
+// ServeMember registers the handlers of a control member.
 func (s *Server) ServeMember(handler interface {
 	Follower
 	Proposer
-	Stepper
+	StepReceiver
 }) {
-	s.server.RegisterService(&followDesc, handler)
-	s.server.RegisterService(&controlDesc, handler)
-	s.server.RegisterService(&stepDesc, handler)
+	s.server.RegisterService(&followServiceDesc, handler)
+	s.server.RegisterService(&controlServiceDesc, handler)
+	s.server.RegisterService(&raftServiceDesc, handler)
 }
 
 // Serve accepts connections until the server stops.
-func (s *Server) Serve() error { return translate(s.server.Serve(s.listener)) }
+func (s *Server) Serve() error { return toTransportError(s.server.Serve(s.listener)) }
 
-// Address is the address that the server listens on.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Stop closes all connections at once.
+// Stop closes all connections immediately.
 func (s *Server) Stop() { s.server.Stop() }
 
-// GracefulStop refuses new streams and waits for open ones until the context ends.
+// GracefulStop refuses new streams and waits for open ones. When the context ends, it closes the remaining connections.
 func (s *Server) GracefulStop(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
--- a/transport/rpc/service.go
+++ b/transport/rpc/service.go
@@ -8,50 +8,50 @@
 	"sapphiregate.example/sapphiregate/protocol"
 )
 
-// The streams that servers hand to their handlers.
+// The streams that a server passes to its handlers.
 type (
 	// FollowServerStream is the parent's side of a Follow stream.
 	FollowServerStream = grpc.BidiStreamingServer[protocol.FollowFrame, protocol.FollowFrame]
-	// CallServerStream is the executor's side of a Call stream.
+	// CallServerStream is the side of a Call stream that belongs to the executor: the node whose upstream runs the call.
 	CallServerStream = grpc.BidiStreamingServer[protocol.CallFrame, protocol.ReplyFrame]
 	// StepServerStream is the receiving side of a Step stream.
 	StepServerStream = grpc.ClientStreamingServer[protocol.StepFrame, protocol.StepAck]
 )
 
-// The streams that clients hold.
+// The streams that a client opens.
 type (
 	// FollowClientStream is the child's side of a Follow stream.
 	FollowClientStream = grpc.BidiStreamingClient[protocol.FollowFrame, protocol.FollowFrame]
-	// CallClientStream is the ingress's side of a Call stream.
+	// CallClientStream is the side of a Call stream that belongs to the ingress: the node that received the request.
 	CallClientStream = grpc.BidiStreamingClient[protocol.CallFrame, protocol.ReplyFrame]
 	// StepClientStream is the sending side of a Step stream.
 	StepClientStream = grpc.ClientStreamingClient[protocol.StepFrame, protocol.StepAck]
 )
 
-// Follower serves Follow streams of nodes and members.
+// Follower serves the Follow streams that nodes and control members open.
 type Follower interface {
 	Follow(stream FollowServerStream) error
 }
 
-// Executor serves Call streams.
+// Executor serves the Call streams that other nodes open.
 type Executor interface {
 	Call(stream CallServerStream) error
 }
 
-// Pinger responds to probes.
+// Pinger responds to Ping, with which other processes check whether this one responds.
 type Pinger interface {
 	Ping(ctx context.Context, request *protocol.PingRequest) (*protocol.PingReply, error)
 }
 
-// Proposer serves proposals and tells who the member is.
+// Proposer accepts proposals for the replicated logs and reports the identity of the control member.
 type Proposer interface {
 	Propose(ctx context.Context, request *protocol.ProposeRequest) (*protocol.ProposeReply, error)
 	Identify(ctx context.Context, request *protocol.IdentifyRequest) (*protocol.IdentifyReply, error)
 }
 
-// Stepper receives messages of the replicated logs.
-type Stepper interface {
-	// Step takes a frame of the member at the given mesh address.
+// StepReceiver receives the messages of the replicated logs.
+type StepReceiver interface {
+	// Step handles a frame that the member at the given mesh address sent.
 	Step(address string, frame *protocol.StepFrame)
 }
 
@@ -64,7 +64,7 @@
 	methodStep     = "/sapphiregate.Raft/Step"
 )
 
-var followDesc = grpc.ServiceDesc{
+var followServiceDesc = grpc.ServiceDesc{
 	ServiceName: "sapphiregate.Mesh",
 	HandlerType: (*Follower)(nil),
 	Streams: []grpc.StreamDesc{{
@@ -76,11 +76,11 @@
 	}},
 }
 
-var callDesc = grpc.ServiceDesc{
+var nodeServiceDesc = grpc.ServiceDesc{
 	ServiceName: "sapphiregate.Mesh",
 	HandlerType: (*nodeHandler)(nil),
 	Methods:     []grpc.MethodDesc{{MethodName: "Ping", Handler: unary(methodPing, Pinger.Ping)}},
-	Streams: []grpc.StreamDesc{followDesc.Streams[0], {
+	Streams: []grpc.StreamDesc{followServiceDesc.Streams[0], {
 		StreamName: "Call", ServerStreams: true, ClientStreams: true,
 		Handler: func(server any, stream grpc.ServerStream) error {
 			typed := &grpc.GenericServerStream[protocol.CallFrame, protocol.ReplyFrame]{ServerStream: stream}
@@ -89,14 +89,14 @@
 	}},
 }
 
-// nodeHandler is what a node serves.
+// nodeHandler is the set of handlers of a node.
 type nodeHandler interface {
 	Follower
 	Executor
 	Pinger
 }
 
-var controlDesc = grpc.ServiceDesc{
+var controlServiceDesc = grpc.ServiceDesc{
 	ServiceName: "sapphiregate.Control",
 	HandlerType: (*Proposer)(nil),
 	Methods: []grpc.MethodDesc{
@@ -105,7 +105,7 @@
 	},
 }
 
-// unary adapts a typed method to grpc-go's handler signature.
+// unary adapts a typed method to the handler signature of grpc-go.
 func unary[Server, Request, Reply any](
 	method string, call func(Server, context.Context, *Request) (*Reply, error),
 ) grpc.MethodHandler {
@@ -126,19 +126,21 @@
 	}
 }
 
-var stepDesc = grpc.ServiceDesc{
+var raftServiceDesc = grpc.ServiceDesc{
 	ServiceName: "sapphiregate.Raft",
-	HandlerType: (*Stepper)(nil),
+	HandlerType: (*StepReceiver)(nil),
 	Streams: []grpc.StreamDesc{{
 		StreamName: "Step", ClientStreams: true,
 		Handler: func(server any, stream grpc.ServerStream) error {
 			typed := &grpc.GenericServerStream[protocol.StepFrame, protocol.StepAck]{ServerStream: stream}
-			return receiveSteps(server.(Stepper), typed)
+			return receiveSteps(server.(StepReceiver), typed)
 		},
 	}},
 }
 
-func receiveSteps(stepper Stepper, stream StepServerStream) error {
+// receiveSteps passes the frames of a stream to the receiver. A frame without an address comes from the same sender as
+// the frame before it.
+func receiveSteps(stepper StepReceiver, stream StepServerStream) error {
 	address := ""
 	for {
 		frame, err := stream.Recv()
--- a/transport/web/upstream.go
+++ b/transport/web/upstream.go
@@ -18,19 +18,20 @@
 
 // Errors of calls to upstreams.
 var (
-	// ErrNotWritten means that no byte of the request reached the upstream's connection: it was not run.
+	// ErrNotWritten means that no byte of the request was written to a connection: the upstream has not run it.
 	ErrNotWritten = errors.New("web: request was not written to the upstream")
-	// ErrBroken means that the connection broke after the request, or part of it, was written.
-	ErrBroken = errors.New("web: connection to the upstream broke")
-	// ErrCut means that the answer ended before its announced length.
-	ErrCut = errors.New("web: answer of the upstream was cut")
+	// ErrConnectionBroken means that the request failed after it, or part of it, may have been written.
+	ErrConnectionBroken = errors.New("web: connection to the upstream broke")
+	// ErrTruncated means that the response ended before its announced length.
+	ErrTruncated = errors.New("web: response of the upstream is truncated")
 )
 
 const (
 	upstreamDialTimeout = time.Second
 	upstreamIdleTimeout = 90 * time.Second
-	// idleProbeInterval keeps TCP aware of an upstream instance that is gone without a reset.
-	idleProbeInterval = 15 * time.Second
+	// keepAliveInterval is the interval of TCP keepalive probes, which detect an upstream instance that disappeared
+	// without a reset.
+	keepAliveInterval = 15 * time.Second
 )
 
 // UpstreamClient sends requests to one upstream. It is safe for concurrent use.
@@ -39,10 +40,10 @@
 	transport *http.Transport
 }
 
-// NewUpstreamClient returns a client that keeps up to the given number of connections open, so that calls do not wait
-// for new ones.
+// NewUpstreamClient returns a client for an IP address and port. It opens at most the given number of connections and
+// keeps them open while they are idle, so that calls seldom wait for a new one.
 func NewUpstreamClient(address string, connections int) *UpstreamClient {
-	dialer := &net.Dialer{Timeout: upstreamDialTimeout, KeepAlive: idleProbeInterval}
+	dialer := &net.Dialer{Timeout: upstreamDialTimeout, KeepAlive: keepAliveInterval}
 	return &UpstreamClient{
 		address: address,
 		transport: &http.Transport{
@@ -63,13 +64,13 @@
 	}
 }
 
-// countingConn counts written bytes, which proves whether a failed request can have reached the upstream.
+// countingConn counts the written bytes. The count shows whether a failed request can have reached the upstream.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
 }
 
-// Write counts before it writes: a failed write may have sent a part.
+// Write counts the bytes before it writes them, because a failed write may have sent some of them.
 func (c *countingConn) Write(data []byte) (int, error) {
 	c.written.Add(int64(len(data)))
 	return c.Conn.Write(data)
@@ -84,75 +85,77 @@
 	Body   io.Reader
 	// ContentLength is -1 if the length is not known in advance.
 	ContentLength int64
-	// Trailer is filled in by the sender while Body is read.
+	// Trailer holds the trailer fields. Their values need to be set only when Body has been read to its end.
 	Trailer http.Header
 }
 
-// UpstreamAnswer is an upstream's answer. Its body must be closed.
-type UpstreamAnswer struct {
-	Response *http.Response
-	// Sent is the time when the request was written.
-	Sent time.Time
+// UpstreamResponse is the response of an upstream. The caller must close the body or call Discard.
+type UpstreamResponse struct {
+	HTTP *http.Response
+	// WrittenAt is the time at which the request was completely written.
+	WrittenAt time.Time
 
 	conn net.Conn
 }
 
-// Discard closes the answer and its connection, on which further bytes of an unknown request may follow.
-func (a *UpstreamAnswer) Discard() {
-	a.Response.Body.Close()
-	if a.conn != nil {
-		_ = a.conn.Close()
+// Discard closes the body and the connection. It is for a response that does not belong to its request: later bytes on
+// the connection could be taken for the response to another request.
+func (r *UpstreamResponse) Discard() {
+	r.HTTP.Body.Close()
+	if r.conn != nil {
+		_ = r.conn.Close()
 	}
 }
 
-// sendTrace observes one request; net/http calls it from several goroutines.
-type sendTrace struct {
-	mu     sync.Mutex
-	conn   *countingConn
-	before int64
-	sent   time.Time
+// requestTrace records how far one request got. net/http calls its methods from several goroutines.
+type requestTrace struct {
+	mu            sync.Mutex
+	conn          *countingConn
+	writtenBefore int64
+	writtenAt     time.Time
 }
 
-func (t *sendTrace) gotConn(info httptrace.GotConnInfo) {
+func (t *requestTrace) gotConn(info httptrace.GotConnInfo) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.conn, _ = info.Conn.(*countingConn)
 	if t.conn != nil {
-		t.before = t.conn.written.Load()
+		t.writtenBefore = t.conn.written.Load()
 	}
 }
 
-func (t *sendTrace) wrote(httptrace.WroteRequestInfo) {
+func (t *requestTrace) wroteRequest(httptrace.WroteRequestInfo) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sent = time.Now()
+	t.writtenAt = time.Now()
 }
 
-// untouched reports whether no byte of the request can have reached the upstream.
-func (t *sendTrace) untouched() bool {
+// nothingWritten reports whether the request wrote no byte to a connection.
+func (t *requestTrace) nothingWritten() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.conn == nil || t.conn.written.Load() == t.before
+	return t.conn == nil || t.conn.written.Load() == t.writtenBefore
 }
 
-// answer describes an answer to the traced request.
-func (t *sendTrace) answer(response *http.Response) *UpstreamAnswer {
+// upstreamResponse combines the response with what was recorded about its request.
+func (t *requestTrace) upstreamResponse(response *http.Response) *UpstreamResponse {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	answer := &UpstreamAnswer{Response: response, Sent: t.sent}
+	result := &UpstreamResponse{HTTP: response, WrittenAt: t.writtenAt}
 	if t.conn != nil {
-		answer.conn = t.conn
+		result.conn = t.conn
 	}
-	return answer
+	return result
 }
 
-// Do sends a request and returns once the answer's header is there. It returns ErrNotWritten only if that is proved.
-func (c *UpstreamClient) Do(ctx context.Context, request UpstreamRequest) (*UpstreamAnswer, error) {
-	trace := &sendTrace{}
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: trace.gotConn, WroteRequest: trace.wrote})
+// Do sends a request and returns once the header of the response has arrived. It returns ErrNotWritten only if it is
+// certain that nothing was written, and ErrConnectionBroken after any other failure.
+func (c *UpstreamClient) Do(ctx context.Context, request UpstreamRequest) (*UpstreamResponse, error) {
+	trace := &requestTrace{}
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: trace.gotConn, WroteRequest: trace.wroteRequest})
 	body := request.Body
 	if body == nil {
-		// net/http sends a request without a body again by itself when a kept connection breaks.
+		// net/http resends a request without a body by itself when a reused connection breaks.
 		body = emptyBody{}
 	}
 	outgoing, err := http.NewRequestWithContext(ctx, request.Method, "http://"+c.address+request.URI, body)
@@ -163,28 +166,28 @@
 	outgoing.Header = request.Header
 	outgoing.Trailer = request.Trailer
 	outgoing.ContentLength = request.ContentLength
-	forbidReplay(outgoing)
+	preventAutomaticRetry(outgoing)
 	response, err := c.transport.RoundTrip(outgoing)
 	if err != nil {
-		if trace.untouched() {
+		if trace.nothingWritten() {
 			return nil, errors.Wrapf(ErrNotWritten, "%v", err)
 		}
-		return nil, errors.Wrapf(ErrBroken, "%v", err)
+		return nil, errors.Wrapf(ErrConnectionBroken, "%v", err)
 	}
-	return trace.answer(response), nil
+	return trace.upstreamResponse(response), nil
 }
 
-// emptyBody is a body that net/http does not know to be empty.
+// emptyBody is an empty body that net/http does not recognize as empty.
 type emptyBody struct{}
 
 // Read implements io.Reader.
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 
-// forbidReplay keeps net/http from sending a request again: whether that is allowed is decided where the retry budget
-// and the other upstreams are known. It hides the idempotency key from net/http, which otherwise sends a request with a key again by itself when a
-// reused connection breaks after the request was written. The field reaches the upstream unchanged, since field names
-// have no case on the wire.
-func forbidReplay(request *http.Request) {
+// preventAutomaticRetry keeps net/http from resending a request: only the caller knows the retry budget and the other
+// upstreams. net/http resends a request that has an idempotency key when a reused connection breaks after the request
+// was written, so the key is stored under its lower-case name, which net/http does not recognize. It reaches the
+// upstream unchanged, since field names are case-insensitive.
+func preventAutomaticRetry(request *http.Request) {
 	request.GetBody = nil
 	for _, name := range []string{protocol.HeaderIdempotencyKey, "X-Idempotency-Key"} {
 		if values, ok := request.Header[name]; ok {
@@ -203,7 +206,8 @@
 	return conn.Close()
 }
 
-// Get fetches a small page from the upstream, such as its health or load report.
+// Get requests a path of the upstream, such as its health or load report, and returns the status code and at most limit
+// bytes of the body.
 func (c *UpstreamClient) Get(ctx context.Context, path string, limit int64) (int, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+path, nil)
 	if err != nil {
@@ -211,12 +215,12 @@
 	}
 	response, err := c.transport.RoundTrip(request)
 	if err != nil {
-		return 0, nil, errors.Wrapf(ErrBroken, "%v", err)
+		return 0, nil, errors.Wrapf(ErrConnectionBroken, "%v", err)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, limit))
 	if err != nil {
-		return response.StatusCode, nil, errors.Wrapf(ErrCut, "%v", err)
+		return response.StatusCode, nil, errors.Wrapf(ErrTruncated, "%v", err)
 	}
 	return response.StatusCode, body, nil
 }
--- a/transport/web/upstream_test.go
+++ b/transport/web/upstream_test.go
@@ -55,25 +55,27 @@
 		DeferCleanup(client.Close)
 	})
 
+	// Guards against an irreversible request that runs twice: net/http resends a request that has an idempotency key when
+	// a reused connection breaks.
 	DescribeTable("does not let net/http resend a keyed request on a reused connection",
 		func(body string) {
-			answer, err := client.Do(context.Background(), post(body))
+			response, err := client.Do(context.Background(), post(body))
 			Expect(err).NotTo(HaveOccurred())
-			got, err := io.ReadAll(answer.Response.Body)
+			got, err := io.ReadAll(response.HTTP.Body)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(string(got)).To(Equal("k1"), "the key must still reach the upstream")
-			Expect(answer.Response.Body.Close()).To(Succeed())
+			Expect(string(got)).To(Equal("k1"), "idempotency key that the upstream received")
+			Expect(response.HTTP.Body.Close()).To(Succeed())
 
 			breakConnection.Store(true)
 			_, err = client.Do(context.Background(), post(body))
-			Expect(err).To(MatchError(web.ErrBroken))
+			Expect(err).To(MatchError(web.ErrConnectionBroken))
 			Expect(runs.Load()).To(BeEquivalentTo(2))
 		},
 		Entry("without a body", ""),
 		Entry("with a body", "belt=black"),
 	)
 
-	It("proves that a refused connection did not run the request", func() {
+	It("returns ErrNotWritten when the connection is refused", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := listener.Addr().String()
