--- a/ctl/approve.go
+++ b/ctl/approve.go
@@ -15,40 +15,40 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// rollout is what approve and replace do.
-type rollout struct {
-	path     string
-	version  uint64
-	replaces uint64
-	approval string
-	wait     bool
+// rolloutOptions is what approve and replace do.
+type rolloutOptions struct {
+	bundlePath   string
+	version      uint64
+	replaces     uint64
+	approvalFile string
+	wait         bool
 }
 
 func (a *app) approveCommand() *cobra.Command {
-	r := rollout{}
+	r := rolloutOptions{}
 	command := &cobra.Command{
 		Use:   "approve FOLDER|FILE --version N",
 		Short: "Validate, stage and approve a bundle",
 		Long: "Validate, stage and approve a bundle. Running the command again with the same bundle and version is safe:\n" +
 			"it takes effect once and gives the first answer.",
-		Args: exactly(1),
+		Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			r.path = args[0]
+			r.bundlePath = args[0]
 			return a.rollOut(c, r)
 		},
 	}
 	command.Flags().Uint64Var(&r.version, "version", 0, "version, greater than the latest")
-	command.Flags().StringVar(&r.approval, "approval", "", "approval file of 'bundle sign'; replaces --version and --key")
+	command.Flags().StringVar(&r.approvalFile, "approval", "", "approval file of 'bundle sign'; replaces --version and --key")
 	command.Flags().BoolVar(&r.wait, "wait", false, "watch until the version is in force on every proxy")
 	return command
 }
 
 func (a *app) replaceCommand() *cobra.Command {
-	r := rollout{}
+	r := rolloutOptions{}
 	command := &cobra.Command{
 		Use:   "replace OLD NEW FOLDER|FILE",
 		Short: "Approve a bundle as version NEW if OLD is still the latest version",
-		Args:  exactly(3),
+		Args:  exactArgs(3),
 		RunE: func(c *cobra.Command, args []string) error {
 			var err error
 			if r.replaces, err = parseVersion(args[0]); err != nil {
@@ -58,9 +58,9 @@
 				return err
 			}
 			if r.version <= r.replaces {
-				return usage("NEW must be greater than OLD, as versions only increase")
+				return usageError("NEW must be greater than OLD, as versions only increase")
 			}
-			r.path = args[2]
+			r.bundlePath = args[2]
 			return a.rollOut(c, r)
 		},
 	}
@@ -69,8 +69,8 @@
 }
 
 // rollOut validates, stages and approves a bundle, and waits if asked to.
-func (a *app) rollOut(c *cobra.Command, r rollout) error {
-	b, err := openBundle(r.path)
+func (a *app) rollOut(c *cobra.Command, r rolloutOptions) error {
+	b, err := openBundle(r.bundlePath)
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := a.deadline(c)
+	ctx, cancel := a.requestContext(c)
 	defer cancel()
 	decision, err := submit(ctx, client, b, approval)
 	if err != nil {
@@ -101,30 +101,30 @@
 }
 
 // approvalFor signs an approval, or reads one that was signed elsewhere.
-func (a *app) approvalFor(b built, r rollout) (bundle.Approval, error) {
-	if r.approval == "" {
+func (a *app) approvalFor(b builtBundle, r rolloutOptions) (bundle.Approval, error) {
+	if r.approvalFile == "" {
 		return a.sign(b.update.Target, r.version, r.replaces)
 	}
 	if r.version != 0 {
-		return bundle.Approval{}, usage("--version and --approval exclude each other")
+		return bundle.Approval{}, usageError("--version and --approval exclude each other")
 	}
 	var approval bundle.Approval
-	data, err := os.ReadFile(r.approval)
+	data, err := os.ReadFile(r.approvalFile)
 	if err != nil {
 		return approval, errors.Wrap(err, "read approval")
 	}
 	if err := json.Unmarshal(data, &approval); err != nil {
-		return approval, errors.Wrapf(err, "decode approval %s", r.approval)
+		return approval, errors.Wrapf(err, "decode approval %s", r.approvalFile)
 	}
 	if approval.Digest != b.update.Target {
-		return approval, usage("%s approves digest %s, but the bundle has %s", r.approval, approval.Digest.Short(),
+		return approval, usageError("%s approves digest %s, but the bundle has %s", r.approvalFile, approval.Digest.Short(),
 			b.update.Target.Short())
 	}
 	return approval, nil
 }
 
 // submit stages and approves. The approval of a bundle that was staged before and dropped in between is repeated once.
-func submit(ctx context.Context, api operator.Backend, b built, approval bundle.Approval) (operator.Decision, error) {
+func submit(ctx context.Context, api operator.Backend, b builtBundle, approval bundle.Approval) (operator.Decision, error) {
 	decision, err := stageAndApprove(ctx, api, b, approval)
 	if errors.Is(err, operator.ErrNotStaged) {
 		return stageAndApprove(ctx, api, b, approval)
@@ -133,7 +133,7 @@
 }
 
 func stageAndApprove(
-	ctx context.Context, api operator.Backend, b built, approval bundle.Approval,
+	ctx context.Context, api operator.Backend, b builtBundle, approval bundle.Approval,
 ) (operator.Decision, error) {
 	if _, err := api.Stage(ctx, operator.StageRequest{
 		Operator: approval.Operator, Version: approval.Version, Digest: approval.Digest, Update: b.encoded,
@@ -163,7 +163,7 @@
 		Short: "Withdraw a staged version, or stop the rollout of the latest one",
 		Long: "Withdraw a staged version, or stop the rollout of the latest one. Proxies that have applied the version keep\n" +
 			"it; no version is ever rolled back. Earlier content returns with 'replace' as a new version.",
-		Args: exactly(1),
+		Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			version, err := parseVersion(args[0])
 			if err != nil {
@@ -177,7 +177,7 @@
 			if err != nil {
 				return err
 			}
-			ctx, cancel := a.deadline(c)
+			ctx, cancel := a.requestContext(c)
 			defer cancel()
 			stop := registry.SignStop(key.Key, registry.Stop{Version: version, Operator: key.Operator})
 			decision, err := client.Stop(ctx, operator.StopRequest{Stop: stop})
--- a/ctl/bundle.go
+++ b/ctl/bundle.go
@@ -14,64 +14,64 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// maxBuiltBytes bounds a built bundle file.
-const maxBuiltBytes = registry.MaxUpdateBytes
+// maxBuiltFileBytes bounds a built bundle file.
+const maxBuiltFileBytes = registry.MaxUpdateBytes
 
-// built is a bundle with its complete update.
-type built struct {
+// builtBundle is a bundle with its complete update.
+type builtBundle struct {
 	bundle  *bundle.Bundle
 	update  bundle.Update
 	encoded []byte
 }
 
 // openBundle reads a folder of bundle files or a file that 'bundle build' wrote, and validates it.
-func openBundle(path string) (built, error) {
+func openBundle(path string) (builtBundle, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return built{}, errors.Wrap(err, "open bundle")
+		return builtBundle{}, errors.Wrap(err, "open bundle")
 	}
 	if info.IsDir() {
-		return buildFolder(path)
+		return buildFromFolder(path)
 	}
-	return openBuilt(path)
+	return readBuiltFile(path)
 }
 
-func buildFolder(folder string) (built, error) {
+func buildFromFolder(folder string) (builtBundle, error) {
 	b, err := bundle.Load(folder)
 	if err != nil {
-		return built{}, err
+		return builtBundle{}, err
 	}
 	update, err := bundle.Complete(b)
 	if err != nil {
-		return built{}, err
+		return builtBundle{}, err
 	}
 	encoded, err := registry.EncodeUpdate(update)
-	return built{bundle: b, update: update, encoded: encoded}, err
+	return builtBundle{bundle: b, update: update, encoded: encoded}, err
 }
 
-func openBuilt(file string) (built, error) {
+func readBuiltFile(file string) (builtBundle, error) {
 	f, err := os.Open(file)
 	if err != nil {
-		return built{}, errors.Wrap(err, "open bundle")
+		return builtBundle{}, errors.Wrap(err, "open bundle")
 	}
 	defer f.Close()
-	encoded, err := io.ReadAll(io.LimitReader(f, maxBuiltBytes))
+	encoded, err := io.ReadAll(io.LimitReader(f, maxBuiltFileBytes))
 	if err != nil {
-		return built{}, errors.Wrap(err, "read bundle")
+		return builtBundle{}, errors.Wrap(err, "read bundle")
 	}
 	update, err := registry.DecodeUpdate(encoded)
 	if err != nil {
-		return built{}, errors.Wrapf(err, "%s is neither a folder nor a built bundle", file)
+		return builtBundle{}, errors.Wrapf(err, "%s is neither a folder nor a built bundle", file)
 	}
 	store := bundle.NewStore()
 	if err := store.Add(update); err != nil {
-		return built{}, errors.Wrapf(err, "%s is damaged", file)
+		return builtBundle{}, errors.Wrapf(err, "%s is damaged", file)
 	}
 	b, err := store.Bundle(update.Target)
 	if err != nil {
-		return built{}, errors.Wrapf(err, "%s is damaged", file)
+		return builtBundle{}, errors.Wrapf(err, "%s is damaged", file)
 	}
-	return built{bundle: b, update: update, encoded: encoded}, bundle.Validate(b).Err()
+	return builtBundle{bundle: b, update: update, encoded: encoded}, bundle.Validate(b).Err()
 }
 
 // summary is the output of validate and build.
@@ -83,7 +83,7 @@
 	File      string        `json:"file,omitempty"`
 }
 
-func (b built) summary(file string) summary {
+func (b builtBundle) summary(file string) summary {
 	return summary{Digest: b.update.Target, Services: len(b.bundle.Services), Routes: len(b.bundle.Routes),
 		Resources: len(b.bundle.Resources), File: file}
 }
@@ -97,7 +97,7 @@
 }
 
 func (a *app) bundleCommand() *cobra.Command {
-	return group("bundle", "Work on bundle files; needs no control member",
+	return commandGroup("bundle", "Work on bundle files; needs no control member",
 		a.validateCommand(), a.buildCommand(), a.diffCommand(), a.signCommand())
 }
 
@@ -105,7 +105,7 @@
 	return &cobra.Command{
 		Use:   "validate FOLDER|FILE",
 		Short: "Check a bundle and list all of its faults",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			b, err := openBundle(args[0])
 			if err != nil {
@@ -122,10 +122,10 @@
 	command := &cobra.Command{
 		Use:   "build FOLDER --file FILE",
 		Short: "Write a bundle in canonical form into one file",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if file == "" {
-				return usage("--file is not set")
+				return usageError("--file is not set")
 			}
 			b, err := openBundle(args[0])
 			if err != nil {
@@ -146,7 +146,7 @@
 	return &cobra.Command{
 		Use:   "diff OLD NEW",
 		Short: "Show the differences between two bundles, each a folder or a built file",
-		Args:  exactly(2),
+		Args:  exactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			from, err := openBundle(args[0])
 			if err != nil {
@@ -177,7 +177,7 @@
 	command := &cobra.Command{
 		Use:   "sign FOLDER|FILE --version N",
 		Short: "Write a signed approval, for 'approve --approval' on another instance",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			b, err := openBundle(args[0])
 			if err != nil {
@@ -199,7 +199,7 @@
 // sign returns an approval with the signature of the operator's key.
 func (a *app) sign(digest bundle.Digest, version, replaces uint64) (bundle.Approval, error) {
 	if version == 0 {
-		return bundle.Approval{}, usage("--version is not set")
+		return bundle.Approval{}, usageError("--version is not set")
 	}
 	key, err := a.loadKey()
 	if err != nil {
@@ -230,7 +230,7 @@
 func parseVersion(text string) (uint64, error) {
 	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || version == 0 {
-		return 0, usage("version %q: allowed: an integer of at least 1", text)
+		return 0, usageError("version %q: allowed: an integer of at least 1", text)
 	}
 	return version, nil
 }
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -30,57 +30,57 @@
 	RunSpecs(t, "ctl", suite, reporter)
 }
 
-const kalasag = "../examples/kalasag"
+const kalasagBundle = "../examples/kalasag"
 
-// member is a stand-in for a control member over a registry, with a script of zone figures for status.
-type member struct {
+// fakeMember is a stand-in for a control fakeMember over a registry, with a script of zone figures for status.
+type fakeMember struct {
 	operator.Backend
 	mu       sync.Mutex
 	registry *registry.Registry
 	index    uint64
 	zones    [][]operator.ZoneStatus
 	replaced operator.ReplaceMemberRequest
-	// dropped makes the next approval find its bundle dropped, as after 16 other stages.
-	dropped bool
+	// dropStaged makes the next approval find its bundle dropStaged, as after 16 other stages.
+	dropStaged bool
 	// interrupt cancels the command during the given status request.
-	interrupt  func()
-	interruptN int
+	interrupt   func()
+	interruptAt int
 }
 
-func (m *member) apply(c registry.Command) (operator.Decision, error) {
+func (m *fakeMember) apply(c registry.Command) (operator.Decision, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.index++
 	return operator.DecisionFromResult(m.registry.Apply(m.index, c))
 }
 
-func (m *member) Stage(_ context.Context, r operator.StageRequest) (operator.Decision, error) {
+func (m *fakeMember) Stage(_ context.Context, r operator.StageRequest) (operator.Decision, error) {
 	return m.apply(registry.Command{RequestID: r.RequestID, Stage: &registry.Stage{
 		Version: r.Version, Digest: r.Digest, Operator: r.Operator, Update: r.Update}})
 }
 
-func (m *member) Approve(_ context.Context, r operator.ApproveRequest) (operator.Decision, error) {
-	if m.dropped {
-		m.dropped = false
+func (m *fakeMember) Approve(_ context.Context, r operator.ApproveRequest) (operator.Decision, error) {
+	if m.dropStaged {
+		m.dropStaged = false
 		return operator.Decision{}, &operator.Error{Kind: operator.ErrNotStaged}
 	}
 	return m.apply(registry.Command{RequestID: r.RequestID, Approve: &r.Approval})
 }
 
-func (m *member) Replace(_ context.Context, r operator.ReplaceRequest) (operator.Decision, error) {
+func (m *fakeMember) Replace(_ context.Context, r operator.ReplaceRequest) (operator.Decision, error) {
 	return m.apply(registry.Command{RequestID: r.RequestID, Approve: &r.Approval})
 }
 
-func (m *member) Stop(_ context.Context, r operator.StopRequest) (operator.Decision, error) {
+func (m *fakeMember) Stop(_ context.Context, r operator.StopRequest) (operator.Decision, error) {
 	return m.apply(registry.Command{RequestID: r.RequestID, Stop: &r.Stop})
 }
 
-func (m *member) Status(context.Context) (operator.Status, error) {
+func (m *fakeMember) Status(context.Context) (operator.Status, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	state := m.registry.State()
-	m.interruptN--
-	if m.interrupt != nil && m.interruptN == 0 {
+	m.interruptAt--
+	if m.interrupt != nil && m.interruptAt == 0 {
 		m.interrupt()
 	}
 	status := operator.Status{Member: "m1", Leader: "m1", Latest: state.Latest, Rollout: operator.RolloutInProgress}
@@ -96,33 +96,33 @@
 	return status, nil
 }
 
-func (m *member) History(context.Context, operator.HistoryRequest) (operator.HistoryResponse, error) {
+func (m *fakeMember) History(context.Context, operator.HistoryRequest) (operator.HistoryResponse, error) {
 	return operator.HistoryResponse{Records: m.registry.History()}, nil
 }
 
-func (m *member) Members(context.Context) (operator.MembersResponse, error) {
+func (m *fakeMember) Members(context.Context) (operator.MembersResponse, error) {
 	return operator.MembersResponse{Term: 3, Members: []operator.Member{{ID: "old", Zone: "luzon-b", Learner: true}}}, nil
 }
 
-func (m *member) ReplaceMember(ctx context.Context, r operator.ReplaceMemberRequest) (operator.MembersResponse, error) {
+func (m *fakeMember) ReplaceMember(ctx context.Context, r operator.ReplaceMemberRequest) (operator.MembersResponse, error) {
 	m.replaced = r
 	return m.Members(ctx)
 }
 
-func (m *member) Quarantine(context.Context) (operator.QuarantineResponse, error) {
+func (m *fakeMember) Quarantine(context.Context) (operator.QuarantineResponse, error) {
 	return operator.QuarantineResponse{Entries: []operator.QuarantineEntry{{Fingerprint: "ab\x1b[2J", Crashes: 2}}}, nil
 }
 
-func (m *member) ClearQuarantine(_ context.Context, r operator.ClearQuarantineRequest) (operator.ClearQuarantineResponse, error) {
+func (m *fakeMember) ClearQuarantine(_ context.Context, r operator.ClearQuarantineRequest) (operator.ClearQuarantineResponse, error) {
 	return operator.ClearQuarantineResponse{Cleared: len(r.Fingerprints)}, nil
 }
 
-func (m *member) Dump(context.Context) (operator.DumpResponse, error) {
+func (m *fakeMember) Dump(context.Context) (operator.DumpResponse, error) {
 	return operator.DumpResponse{Member: "m1", State: json.RawMessage(`{"term":3}`)}, nil
 }
 
-// zone returns the figures of a zone with 4 proxies, of which some have version 2 and the others version 1.
-func zone(inForce int, age int64) operator.ZoneStatus {
+// zoneStatus returns the figures of a zoneStatus with 4 proxies, of which some have version 2 and the others version 1.
+func zoneStatus(inForce int, age int64) operator.ZoneStatus {
 	z := operator.ZoneStatus{Zone: "luzon-a", Proxies: 4, LowestVersion: 1, AgeMs: age,
 		Versions: []operator.VersionCount{{Version: 2, Proxies: inForce}, {Version: 1, Proxies: 4 - inForce}}}
 	if inForce < 4 {
@@ -133,7 +133,7 @@
 
 // harness runs commands against a member.
 type harness struct {
-	member  *member
+	member  *fakeMember
 	address string
 	folder  string
 }
@@ -147,7 +147,7 @@
 		Expect(key.Save(filepath.Join(h.folder, name))).To(Succeed())
 		keys[name] = []ed25519.PublicKey{key.Key.Public().(ed25519.PublicKey)}
 	}
-	h.member = &member{registry: registry.New(bundle.NewKeyring(keys))}
+	h.member = &fakeMember{registry: registry.New(bundle.NewKeyring(keys))}
 	server := httptest.NewServer(operator.NewHandler(h.member))
 	DeferCleanup(server.Close)
 	h.address = strings.TrimPrefix(server.URL, "http://")
@@ -169,7 +169,7 @@
 	return out.String(), errs.String(), code
 }
 
-func (h *harness) must(args ...string) string {
+func (h *harness) mustRun(args ...string) string {
 	GinkgoHelper()
 	stdout, stderr, code := h.run("ana", args...)
 	Expect(code).To(Equal(ctl.ExitOK), stderr)
@@ -181,9 +181,9 @@
 	BeforeEach(func() { h = newHarness() })
 
 	It("approves, gives the first answer to a repeated command and names the winner of a race", func() {
-		first := h.must("approve", kalasag, "--version", "1")
+		first := h.mustRun("approve", kalasagBundle, "--version", "1")
 		Expect(first).To(ContainSubstring("version 1 approved at log index 2"))
-		Expect(h.must("approve", kalasag, "--version", "1")).To(Equal(first))
+		Expect(h.mustRun("approve", kalasagBundle, "--version", "1")).To(Equal(first))
 		_, stderr, code := h.run("ben", "approve", "../examples/kartuli", "--version", "1")
 		Expect(code).To(Equal(ctl.ExitRefused))
 		Expect(stderr).To(And(ContainSubstring("approved by ana"), ContainSubstring("next: another operator won")))
@@ -196,9 +196,9 @@
 
 	It("approves what was built and signed elsewhere, and nothing else", func() {
 		file, approval := filepath.Join(h.folder, "k.bundle"), filepath.Join(h.folder, "approval")
-		h.must("bundle", "build", kalasag, "--file", file)
-		Expect(h.must("bundle", "diff", kalasag, file)).To(Equal("no differences\n"))
-		h.must("bundle", "sign", file, "--version", "4", "--file", approval)
+		h.mustRun("bundle", "build", kalasagBundle, "--file", file)
+		Expect(h.mustRun("bundle", "diff", kalasagBundle, file)).To(Equal("no differences\n"))
+		h.mustRun("bundle", "sign", file, "--version", "4", "--file", approval)
 		_, _, code := h.run("ben", "approve", "../examples/kartuli", "--approval", approval)
 		Expect(code).To(Equal(ctl.ExitUsage))
 		_, stderr, code := h.run("none", "approve", file, "--approval", approval)
@@ -212,8 +212,8 @@
 	})
 
 	It("stages again when the bundle was dropped before its approval", func() {
-		h.member.dropped = true
-		Expect(h.must("approve", kalasag, "--version", "1")).To(ContainSubstring("approved"))
+		h.member.dropStaged = true
+		Expect(h.mustRun("approve", kalasagBundle, "--version", "1")).To(ContainSubstring("approved"))
 	})
 
 	It("lists all faults of a bundle and stages nothing", func() {
@@ -226,9 +226,9 @@
 	})
 
 	It("watches until every proxy has the version, with a line for each change when the output is no terminal", func() {
-		h.must("approve", kalasag, "--version", "1")
-		h.member.zones = [][]operator.ZoneStatus{{zone(1, 0)}, {zone(1, 200)}, {zone(4, 20_000)}, {zone(4, 100)}}
-		out := h.must("replace", "1", "2", "../examples/kartuli", "--wait")
+		h.mustRun("approve", kalasagBundle, "--version", "1")
+		h.member.zones = [][]operator.ZoneStatus{{zoneStatus(1, 0)}, {zoneStatus(1, 200)}, {zoneStatus(4, 20_000)}, {zoneStatus(4, 100)}}
+		out := h.mustRun("replace", "1", "2", "../examples/kartuli", "--wait")
 		Expect(out).To(ContainSubstring("luzon-a          [#####...............] 1/4"))
 		Expect(strings.Count(out, "n7 has version 1: waiting for parts")).To(Equal(1))
 		Expect(out).To(ContainSubstring("the figures are too old to judge"))
@@ -236,62 +236,62 @@
 	})
 
 	It("writes one JSON object for each change of a watch", func() {
-		h.must("approve", kalasag, "--version", "1")
-		h.must("approve", kalasag, "--version", "2")
-		h.member.zones = [][]operator.ZoneStatus{{zone(3, 0)}, {zone(3, 1)}, {zone(4, 0)}}
-		out := strings.Split(strings.TrimSpace(h.must("watch", "2", "-o", "json")), "\n")
+		h.mustRun("approve", kalasagBundle, "--version", "1")
+		h.mustRun("approve", kalasagBundle, "--version", "2")
+		h.member.zones = [][]operator.ZoneStatus{{zoneStatus(3, 0)}, {zoneStatus(3, 1)}, {zoneStatus(4, 0)}}
+		out := strings.Split(strings.TrimSpace(h.mustRun("watch", "2", "-o", "json")), "\n")
 		Expect(out).To(HaveLen(2))
 		Expect(out[1]).To(ContainSubstring(`"state":"in-force"`))
 	})
 
 	It("ends a watch with its own exit code when the rollout is stopped or the wait ends", func() {
-		h.must("approve", kalasag, "--version", "2")
-		h.member.zones = [][]operator.ZoneStatus{{zone(1, 0)}}
-		h.member.interruptN = 4
+		h.mustRun("approve", kalasagBundle, "--version", "2")
+		h.member.zones = [][]operator.ZoneStatus{{zoneStatus(1, 0)}}
+		h.member.interruptAt = 4
 		_, stderr, code := h.run("ana", "watch")
 		Expect(code).To(Equal(ctl.ExitNotInForce), stderr)
 		Expect(stderr).To(ContainSubstring("in force on 1 of 4 proxies"))
 		_, _, code = h.run("ana", "watch", "--wait-timeout", "1ms")
 		Expect(code).To(Equal(ctl.ExitNotInForce))
-		h.must("stop", "2")
+		h.mustRun("stop", "2")
 		_, _, code = h.run("ana", "watch")
 		Expect(code).To(Equal(ctl.ExitStopped))
-		Expect(h.must("history")).To(ContainSubstring("stopped"))
-		Expect(h.must("status")).To(And(ContainSubstring("2, stopped"), ContainSubstring("n7 in luzon-a has version 1")))
+		Expect(h.mustRun("history")).To(ContainSubstring("stopped"))
+		Expect(h.mustRun("status")).To(And(ContainSubstring("2, stopped"), ContainSubstring("n7 in luzon-a has version 1")))
 	})
 
 	It("never counts a mesh without proxies as in force", func() {
-		h.must("approve", kalasag, "--version", "1")
-		h.member.interruptN = 3
+		h.mustRun("approve", kalasagBundle, "--version", "1")
+		h.member.interruptAt = 3
 		_, stderr, code := h.run("ana", "watch", "1")
 		Expect(code).To(Equal(ctl.ExitNotInForce))
 		Expect(stderr).To(ContainSubstring("no proxy is counted"))
 	})
 
 	It("refuses a replacement after another operator's version, and says what to do", func() {
-		h.must("approve", kalasag, "--version", "1")
-		h.must("approve", kalasag, "--version", "2")
-		_, stderr, code := h.run("ben", "replace", "1", "3", kalasag)
+		h.mustRun("approve", kalasagBundle, "--version", "1")
+		h.mustRun("approve", kalasagBundle, "--version", "2")
+		_, stderr, code := h.run("ben", "replace", "1", "3", kalasagBundle)
 		Expect(code).To(Equal(ctl.ExitRefused))
 		Expect(stderr).To(And(ContainSubstring("winner: version 2"), ContainSubstring("next: run 'sapphirectl status'")))
 	})
 
 	It("replaces a member in the zone of the old one", func() {
-		h.must("members", "replace", "old", "new", "--address", "10.0.0.9:7000")
+		h.mustRun("members", "replace", "old", "new", "--address", "10.0.0.9:7000")
 		Expect(h.member.replaced.Zone).To(Equal("luzon-b"))
-		Expect(h.must("members", "list")).To(ContainSubstring("learner"))
+		Expect(h.mustRun("members", "list")).To(ContainSubstring("learner"))
 		_, _, code := h.run("ana", "members", "replace", "absent", "new", "--address", "10.0.0.9:7000")
 		Expect(code).To(Equal(ctl.ExitRefused))
 	})
 
 	It("shows and clears the quarantine without control characters in the output", func() {
-		Expect(h.must("quarantine", "list")).To(And(ContainSubstring("ab?[2J"), Not(ContainSubstring("\x1b"))))
-		Expect(h.must("quarantine", "clear", "ab")).To(Equal("1 cleared\n"))
-		Expect(h.must("dump")).To(ContainSubstring(`"term": 3`))
+		Expect(h.mustRun("quarantine", "list")).To(And(ContainSubstring("ab?[2J"), Not(ContainSubstring("\x1b"))))
+		Expect(h.mustRun("quarantine", "clear", "ab")).To(Equal("1 cleared\n"))
+		Expect(h.mustRun("dump")).To(ContainSubstring(`"term": 3`))
 	})
 
 	It("generates keys that the members accept", func() {
-		out := h.must("keys", "generate", "eve", "--folder", h.folder, "-o", "json")
+		out := h.mustRun("keys", "generate", "eve", "--folder", h.folder, "-o", "json")
 		var files struct{ Private, Keyring string }
 		Expect(json.Unmarshal([]byte(out), &files)).To(Succeed())
 		key, err := bundle.LoadKey(files.Private)
@@ -312,9 +312,9 @@
 		Entry("unknown flag", "status", "--loud"),
 		Entry("missing argument", "stop"),
 		Entry("version 0", "stop", "0"),
-		Entry("older replacement", "replace", "2", "1", kalasag),
+		Entry("older replacement", "replace", "2", "1", kalasagBundle),
 		Entry("output format", "status", "-o", "xml"),
-		Entry("no version", "approve", kalasag),
+		Entry("no version", "approve", kalasagBundle),
 	)
 
 	It("documents every command and exit code, so that the guide does not fall behind", func() {
--- a/ctl/exit.go
+++ b/ctl/exit.go
@@ -41,16 +41,16 @@
 	ErrStopped = errors.New("rollout is stopped")
 )
 
-// advice is the exit code and the next step for one kind of error.
-type advice struct {
-	kind error
-	code string
-	exit int
-	next string
+// errorClass is the exit code and the next step for one kind of error.
+type errorClass struct {
+	target   error
+	code     string
+	exitCode int
+	next     string
 }
 
-// advices lists the kinds of errors. The first that matches applies.
-var advices = []advice{
+// errorClasses lists the kinds of errors. The first that matches applies.
+var errorClasses = []errorClass{
 	{ErrUsage, "usage", ExitUsage, "run the command with --help"},
 	{ErrNotInForce, "not-in-force", ExitNotInForce,
 		"run 'sapphirectl watch' to go on, or see 'slow convergence' in docs/operators.md"},
@@ -77,14 +77,14 @@
 	{operator.ErrInternal, "", ExitFailure, "look into the log of the control member"},
 }
 
-// adviceFor returns what is known about an error.
-func adviceFor(err error) advice {
+// classify returns what is known about an error.
+func classify(err error) errorClass {
 	var problems bundle.Problems
 	if errors.As(err, &problems) {
-		return advice{code: "invalid-bundle", exit: ExitInvalid, next: "correct the listed fields"}
+		return errorClass{code: "invalid-bundle", exitCode: ExitInvalid, next: "correct the listed fields"}
 	}
-	for _, candidate := range advices {
-		if errors.Is(err, candidate.kind) {
+	for _, candidate := range errorClasses {
+		if errors.Is(err, candidate.target) {
 			if candidate.code == "" {
 				candidate.code = operator.CodeOf(err)
 			}
@@ -93,9 +93,9 @@
 	}
 	// cobra has no error value for unknown commands.
 	if strings.HasPrefix(err.Error(), "unknown command") {
-		return advices[0]
+		return errorClasses[0]
 	}
-	return advice{code: "failure", exit: ExitFailure}
+	return errorClass{code: "failure", exitCode: ExitFailure}
 }
 
 // ExitCode returns the exit code for an error of a command.
@@ -103,7 +103,7 @@
 	if err == nil {
 		return ExitOK
 	}
-	return adviceFor(err).exit
+	return classify(err).exitCode
 }
 
-func usage(format string, args ...any) error { return errors.Wrapf(ErrUsage, format, args...) }
+func usageError(format string, args ...any) error { return errors.Wrapf(ErrUsage, format, args...) }
--- a/ctl/keys.go
+++ b/ctl/keys.go
@@ -19,15 +19,15 @@
 }
 
 func (a *app) keysCommand() *cobra.Command {
-	return group("keys", "Manage operator keys", a.generateCommand())
+	return commandGroup("keys", "Manage operator keys", a.generateKeyCommand())
 }
 
-func (a *app) generateCommand() *cobra.Command {
+func (a *app) generateKeyCommand() *cobra.Command {
 	var folder string
 	command := &cobra.Command{
 		Use:   "generate OPERATOR",
 		Short: "Write a private key file and a keyring file with the public key",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			key, err := bundle.GenerateKey(args[0], rand.Reader)
 			if err != nil {
--- a/ctl/root.go
+++ b/ctl/root.go
@@ -62,7 +62,7 @@
 		SilenceErrors:     true,
 		PersistentPreRunE: func(*cobra.Command, []string) error { return a.checkFlags() },
 	}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage("%v", err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError("%v", err) })
 	a.addFlags(root)
 	root.AddCommand(
 		a.bundleCommand(), a.keysCommand(), a.approveCommand(), a.replaceCommand(), a.stopCommand(),
@@ -93,10 +93,10 @@
 
 func (a *app) checkFlags() error {
 	if a.output != outputText && a.output != outputJSON {
-		return usage("--output %q: allowed: text, json", a.output)
+		return usageError("--output %q: allowed: text, json", a.output)
 	}
 	if min(a.timeout, a.waitTimeout, a.interval) <= 0 {
-		return usage("--timeout, --wait-timeout and --interval: allowed: positive durations")
+		return usageError("--timeout, --wait-timeout and --interval: allowed: positive durations")
 	}
 	return nil
 }
@@ -125,8 +125,8 @@
 }
 
 func printError(w io.Writer, err error, format string) {
-	about := adviceFor(err)
-	out := errorOutput{Code: about.code, Message: err.Error(), Next: about.next}
+	class := classify(err)
+	out := errorOutput{Code: class.code, Message: err.Error(), Next: class.next}
 	var detailed *operator.Error
 	if errors.As(err, &detailed) {
 		out.Winner = detailed.Winner
@@ -159,33 +159,33 @@
 // client returns a client for the flags.
 func (a *app) client() (*operator.Client, error) {
 	if len(a.control) == 0 {
-		return nil, usage("--control is not set")
+		return nil, usageError("--control is not set")
 	}
 	config, err := a.tls.ClientConfig()
 	if err != nil {
-		return nil, usage("TLS: %v; or set --insecure", err)
+		return nil, usageError("TLS: %v; or set --insecure", err)
 	}
 	client, err := operator.NewClient(operator.ClientConfig{Addresses: a.control, TLS: config})
 	if err != nil {
-		return nil, usage("%v", err)
+		return nil, usageError("%v", err)
 	}
 	return client, nil
 }
 
-// deadline returns a context that ends after --timeout.
-func (a *app) deadline(c *cobra.Command) (context.Context, context.CancelFunc) {
+// requestContext returns a context that ends after --timeout.
+func (a *app) requestContext(c *cobra.Command) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(c.Context(), a.timeout)
 }
 
-// waitDeadline returns a context that ends after --wait-timeout.
-func (a *app) waitDeadline(c *cobra.Command) (context.Context, context.CancelFunc) {
+// waitContext returns a context that ends after --wait-timeout.
+func (a *app) waitContext(c *cobra.Command) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(c.Context(), a.waitTimeout)
 }
 
 // loadKey reads the operator's private key.
 func (a *app) loadKey() (bundle.PrivateKey, error) {
 	if a.key == "" {
-		return bundle.PrivateKey{}, usage("--key is not set")
+		return bundle.PrivateKey{}, usageError("--key is not set")
 	}
 	return bundle.LoadKey(a.key)
 }
@@ -200,7 +200,7 @@
 }
 
 // print writes a value as JSON, or as text by the given function.
-func (a *app) print(c *cobra.Command, value any, text func(w io.Writer)) error {
+func (a *app) print(c *cobra.Command, value any, writeText func(w io.Writer)) error {
 	out := c.OutOrStdout()
 	if a.output == outputJSON {
 		encoder := json.NewEncoder(out)
@@ -208,24 +208,24 @@
 		return errors.Wrap(encoder.Encode(value), "write output")
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	text(table)
+	writeText(table)
 	return errors.Wrap(table.Flush(), "write output")
 }
 
-// group returns a command that only holds subcommands.
-func group(use, short string, commands ...*cobra.Command) *cobra.Command {
+// commandGroup returns a command that only holds subcommands.
+func commandGroup(use, short string, commands ...*cobra.Command) *cobra.Command {
 	parent := &cobra.Command{Use: use, Short: short, RunE: func(c *cobra.Command, args []string) error {
-		return usage("%s: choose one of its subcommands", c.CommandPath())
+		return usageError("%s: choose one of its subcommands", c.CommandPath())
 	}}
 	parent.AddCommand(commands...)
 	return parent
 }
 
-// exactly checks the number of arguments.
-func exactly(n int) cobra.PositionalArgs {
+// exactArgs checks the number of arguments.
+func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != n {
-			return usage("%s takes %d arguments, got %d", c.CommandPath(), n, len(args))
+			return usageError("%s takes %d arguments, got %d", c.CommandPath(), n, len(args))
 		}
 		return nil
 	}
--- a/ctl/show.go
+++ b/ctl/show.go
@@ -16,13 +16,13 @@
 	return &cobra.Command{
 		Use:   "status",
 		Short: "Show the latest version, staged bundles and the proxies of each availability zone",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			client, err := a.client()
 			if err != nil {
 				return err
 			}
-			ctx, cancel := a.deadline(c)
+			ctx, cancel := a.requestContext(c)
 			defer cancel()
 			status, err := client.Status(ctx)
 			if err != nil {
@@ -40,7 +40,7 @@
 	}
 	fmt.Fprintf(w, "answered by\t%s\n", s.Member)
 	fmt.Fprintf(w, "leader\t%s\n", leader)
-	fmt.Fprintf(w, "confirmed by a quorum\t%s\n", ago(s.ConfirmedAgeMs))
+	fmt.Fprintf(w, "confirmed by a quorum\t%s\n", formatAge(s.ConfirmedAgeMs))
 	if s.Latest == nil {
 		fmt.Fprintln(w, "latest version\tnone")
 	} else {
@@ -57,8 +57,8 @@
 func printZones(w io.Writer, zones []operator.ZoneStatus) {
 	fmt.Fprintln(w, "ZONE\tROLLOUT\tPROXIES\tVERSIONS\tFIGURES")
 	for _, zone := range zones {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", zone.Zone, zone.Rollout, zone.Proxies, versions(zone.Versions),
-			ago(zone.AgeMs))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", zone.Zone, zone.Rollout, zone.Proxies, formatVersionCounts(zone.Versions),
+			formatAge(zone.AgeMs))
 	}
 	for _, zone := range zones {
 		for _, proxy := range zone.Lagging {
@@ -68,7 +68,7 @@
 	}
 }
 
-func versions(counts []operator.VersionCount) string {
+func formatVersionCounts(counts []operator.VersionCount) string {
 	text := ""
 	for _, count := range counts {
 		if text != "" {
@@ -79,8 +79,8 @@
 	return text
 }
 
-// ago formats an age in milliseconds.
-func ago(ms int64) string {
+// formatAge formats an age in milliseconds.
+func formatAge(ms int64) string {
 	if ms == operator.AgeUnknown {
 		return "never"
 	}
@@ -92,16 +92,16 @@
 	command := &cobra.Command{
 		Use:   "history",
 		Short: "List approvals, stops and withdrawals, newest first",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if limit < 1 || limit > operator.MaxHistoryLimit {
-				return usage("--limit %d: allowed: 1 to %d", limit, operator.MaxHistoryLimit)
+				return usageError("--limit %d: allowed: 1 to %d", limit, operator.MaxHistoryLimit)
 			}
 			client, err := a.client()
 			if err != nil {
 				return err
 			}
-			ctx, cancel := a.deadline(c)
+			ctx, cancel := a.requestContext(c)
 			defer cancel()
 			history, err := client.History(ctx, operator.HistoryRequest{Limit: limit})
 			if err != nil {
@@ -123,13 +123,13 @@
 	return &cobra.Command{
 		Use:   "dump",
 		Short: "Print the state dump of the member that answers",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			client, err := a.client()
 			if err != nil {
 				return err
 			}
-			ctx, cancel := a.deadline(c)
+			ctx, cancel := a.requestContext(c)
 			defer cancel()
 			dump, err := client.Dump(ctx)
 			if err != nil {
@@ -148,22 +148,22 @@
 	list := &cobra.Command{
 		Use:   "list",
 		Short: "List the requests that crashed upstreams",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			client, err := a.client()
 			if err != nil {
 				return err
 			}
-			ctx, cancel := a.deadline(c)
+			ctx, cancel := a.requestContext(c)
 			defer cancel()
-			answer, err := client.Quarantine(ctx)
+			response, err := client.Quarantine(ctx)
 			if err != nil {
 				return err
 			}
-			return a.print(c, answer, func(w io.Writer) { printQuarantine(w, answer.Entries) })
+			return a.print(c, response, func(w io.Writer) { printQuarantine(w, response.Entries) })
 		},
 	}
-	return group("quarantine", "Show and clear requests that crashed upstreams", list, a.clearCommand())
+	return commandGroup("quarantine", "Show and clear requests that crashed upstreams", list, a.clearQuarantineCommand())
 }
 
 func printQuarantine(w io.Writer, entries []operator.QuarantineEntry) {
@@ -174,14 +174,14 @@
 	}
 }
 
-func (a *app) clearCommand() *cobra.Command {
+func (a *app) clearQuarantineCommand() *cobra.Command {
 	all := false
 	command := &cobra.Command{
 		Use:   "clear [FINGERPRINT...]",
 		Short: "Allow quarantined requests again",
 		RunE: func(c *cobra.Command, args []string) error {
 			if all == (len(args) > 0) {
-				return usage("give fingerprints, or --all")
+				return usageError("give fingerprints, or --all")
 			}
 			name, err := a.operatorName()
 			if err != nil {
@@ -191,14 +191,14 @@
 			if err != nil {
 				return err
 			}
-			ctx, cancel := a.deadline(c)
+			ctx, cancel := a.requestContext(c)
 			defer cancel()
-			answer, err := client.ClearQuarantine(ctx,
+			response, err := client.ClearQuarantine(ctx,
 				operator.ClearQuarantineRequest{Operator: name, Fingerprints: args})
 			if err != nil {
 				return err
 			}
-			return a.print(c, answer, func(w io.Writer) { fmt.Fprintf(w, "%d cleared\n", answer.Cleared) })
+			return a.print(c, response, func(w io.Writer) { fmt.Fprintf(w, "%d cleared\n", response.Cleared) })
 		},
 	}
 	command.Flags().BoolVar(&all, "all", false, "clear all fingerprints")
@@ -206,35 +206,35 @@
 }
 
 func (a *app) membersCommand() *cobra.Command {
-	return group("members", "Show and change the control members",
+	return commandGroup("members", "Show and change the control members",
 		a.memberListCommand(), a.memberAddCommand(), a.memberRemoveCommand(), a.memberReplaceCommand())
 }
 
-// memberChange runs a request on the members and prints the resulting membership. The deadline is that of a wait, as a
+// runMembersRequest runs a request on the members and prints the resulting membership. The deadline is that of a wait, as a
 // learner has to catch up before it is promoted.
-func (a *app) memberChange(
-	c *cobra.Command, call func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error),
+func (a *app) runMembersRequest(
+	c *cobra.Command, send func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error),
 ) error {
 	client, err := a.client()
 	if err != nil {
 		return err
 	}
-	answer, err := call(c, client)
+	response, err := send(c, client)
 	if err != nil {
 		return err
 	}
-	return a.print(c, answer, func(w io.Writer) { printMembers(w, answer) })
+	return a.print(c, response, func(w io.Writer) { printMembers(w, response) })
 }
 
-func printMembers(w io.Writer, answer operator.MembersResponse) {
-	fmt.Fprintf(w, "term %d, commit index %d\n", answer.Term, answer.Commit)
+func printMembers(w io.Writer, response operator.MembersResponse) {
+	fmt.Fprintf(w, "term %d, commit index %d\n", response.Term, response.Commit)
 	fmt.Fprintln(w, "ID\tZONE\tADDRESS\tROLE\tSTORED INDEX\tLAST CONTACT")
-	for _, m := range answer.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", m.ID, m.Zone, m.Address, role(m), m.Match, ago(m.LastContactMs))
+	for _, m := range response.Members {
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", m.ID, m.Zone, m.Address, memberRole(m), m.Match, formatAge(m.LastContactMs))
 	}
 }
 
-func role(m operator.Member) string {
+func memberRole(m operator.Member) string {
 	switch {
 	case m.Leader:
 		return "leader"
@@ -249,10 +249,10 @@
 	return &cobra.Command{
 		Use:   "list",
 		Short: "List the control members",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
-			return a.memberChange(c, func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error) {
-				ctx, cancel := a.deadline(c)
+			return a.runMembersRequest(c, func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error) {
+				ctx, cancel := a.requestContext(c)
 				defer cancel()
 				return api.Members(ctx)
 			})
@@ -265,10 +265,10 @@
 	command := &cobra.Command{
 		Use:   "add ID ADDRESS ZONE",
 		Short: "Add a member; it votes once it has caught up",
-		Args:  exactly(3),
+		Args:  exactArgs(3),
 		RunE: func(c *cobra.Command, args []string) error {
-			return a.memberChange(c, func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error) {
-				ctx, cancel := a.waitDeadline(c)
+			return a.runMembersRequest(c, func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error) {
+				ctx, cancel := a.waitContext(c)
 				defer cancel()
 				return api.AddMember(ctx,
 					operator.AddMemberRequest{ID: args[0], Address: args[1], Zone: args[2], Learner: learner})
@@ -283,10 +283,10 @@
 	return &cobra.Command{
 		Use:   "remove ID",
 		Short: "Remove a member",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return a.memberChange(c, func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error) {
-				ctx, cancel := a.waitDeadline(c)
+			return a.runMembersRequest(c, func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error) {
+				ctx, cancel := a.waitContext(c)
 				defer cancel()
 				return api.RemoveMember(ctx, operator.RemoveMemberRequest{ID: args[0]})
 			})
@@ -299,13 +299,13 @@
 	command := &cobra.Command{
 		Use:   "replace OLD NEW --address ADDRESS",
 		Short: "Replace a lost member: add NEW, wait until it votes, remove OLD",
-		Args:  exactly(2),
+		Args:  exactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			request.Old, request.New = args[0], args[1]
 			if request.Address == "" {
-				return usage("--address is not set")
+				return usageError("--address is not set")
 			}
-			return a.memberChange(c, func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error) {
+			return a.runMembersRequest(c, func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error) {
 				return a.replaceMember(c, api, request)
 			})
 		},
@@ -318,7 +318,7 @@
 func (a *app) replaceMember(
 	c *cobra.Command, api *operator.Client, request operator.ReplaceMemberRequest,
 ) (operator.MembersResponse, error) {
-	ctx, cancel := a.waitDeadline(c)
+	ctx, cancel := a.waitContext(c)
 	defer cancel()
 	if request.Zone != "" {
 		return api.ReplaceMember(ctx, request)
--- a/ctl/trace.go
+++ b/ctl/trace.go
@@ -68,7 +68,7 @@
 		Short: "Show a request's path through the processes from their log files, in the order of cause",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) < 2 {
-				return usage("%s takes a request and at least one log file", c.CommandPath())
+				return usageError("%s takes a request and at least one log file", c.CommandPath())
 			}
 			return nil
 		},
@@ -82,7 +82,7 @@
 			if len(trace.Lines) == 0 {
 				return errors.Wrapf(ErrNotLogged, "%s, in %d files; %d lines were left out of them", args[0], len(args)-1, trace.Dropped)
 			}
-			trace.order()
+			trace.sortByCause()
 			return a.print(c, trace, trace.print)
 		},
 	}
@@ -119,9 +119,9 @@
 	return scanner.Err()
 }
 
-// order sorts the lines by cause: clocks of instances differ, but the node that took the request in lists the instances
-// in the order in which it tried them, and its own last line comes after theirs.
-func (t *requestTrace) order() {
+// sortByCause sorts the lines by cause: clocks of instances differ, but the node that took the request in lists the instances
+// in the sortByCause in which it tried them, and its own last line comes after theirs.
+func (t *requestTrace) sortByCause() {
 	var tried []string
 	for _, line := range t.Lines {
 		if len(line.Tried) > len(tried) {
@@ -129,7 +129,7 @@
 		}
 	}
 	rank := func(line logLine) int {
-		if line.ends() {
+		if line.isFinal() {
 			return 2 * (len(tried) + 1)
 		}
 		index := slices.Index(tried, cmp.Or(line.TriedInstance, line.Instance))
@@ -147,16 +147,16 @@
 		}
 		return a.Time.Compare(b.Time)
 	})
-	t.Cause = causes[t.Lines[len(t.Lines)-1].Reason]
+	t.Cause = reasonExplanations[t.Lines[len(t.Lines)-1].Reason]
 }
 
-// ends reports whether the line is the last one of the node that took the request in.
-func (l *logLine) ends() bool {
+// isFinal reports whether the line is the last one of the node that took the request in.
+func (l *logLine) isFinal() bool {
 	return l.Message == logging.RequestFailed || l.Message == logging.RequestAnswered || l.Message == logging.RequestRefused
 }
 
-// about names the instance that a line is about, if that is not the one that wrote it.
-func (l *logLine) about() string {
+// triedSuffix names the instance that a line is triedSuffix, if that is not the one that wrote it.
+func (l *logLine) triedSuffix() string {
 	if l.TriedInstance == "" {
 		return ""
 	}
@@ -167,11 +167,11 @@
 	fmt.Fprintln(w, "STEP\tINSTANCE\tWHAT\tREASON\tSTATUS\tTOOK\tWAITED\tLEFT\tSLOTS\tVERSION")
 	for i, line := range t.Lines {
 		took, left := line.TookMs, line.LeftMs
-		if !line.ends() && line.Message != logging.AttemptFailed {
+		if !line.isFinal() && line.Message != logging.AttemptFailed {
 			took, left = line.UpstreamMs, line.GivenMs
 		}
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d ms\t%d ms\t%d ms\t%d of %d, %d wait\t%d, %d ms old\n", i+1,
-			printable(line.Instance), printable(line.Message+line.about()), printable(string(line.Reason)), line.UpstreamStatus, took,
+			printable(line.Instance), printable(line.Message+line.triedSuffix()), printable(string(line.Reason)), line.UpstreamStatus, took,
 			line.WaitedMs, left, line.Running, line.Slots, line.Waiting, line.Version, line.VersionAgeMs)
 	}
 	if t.Cause != "" {
@@ -182,8 +182,8 @@
 	}
 }
 
-// causes explains the reasons and names the next place to look.
-var causes = map[protocol.Reason]string{
+// reasonExplanations explains the reasons and names the next place to look.
+var reasonExplanations = map[protocol.Reason]string{
 	protocol.ReasonShed: "no slot was expected in time; see SLOTS, and which upstreams of the service announced " +
 		"themselves or left before",
 	protocol.ReasonDeadline:          "the time ran out; see which step took or waited longest",
--- a/ctl/watch.go
+++ b/ctl/watch.go
@@ -101,7 +101,7 @@
 		Short: "Watch a version, by default the latest, come into force",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) > 1 {
-				return usage("%s takes at most 1 argument", c.CommandPath())
+				return usageError("%s takes at most 1 argument", c.CommandPath())
 			}
 			return nil
 		},
@@ -117,7 +117,7 @@
 				}
 				return a.watch(c, client, version)
 			}
-			version, err := a.latest(c, client)
+			version, err := a.latestVersion(c, client)
 			if err != nil {
 				return err
 			}
@@ -127,8 +127,8 @@
 	return command
 }
 
-func (a *app) latest(c *cobra.Command, api operator.Backend) (uint64, error) {
-	ctx, cancel := a.deadline(c)
+func (a *app) latestVersion(c *cobra.Command, api operator.Backend) (uint64, error) {
+	ctx, cancel := a.requestContext(c)
 	defer cancel()
 	status, err := api.Status(ctx)
 	if err != nil {
@@ -153,7 +153,7 @@
 		switch {
 		case err == nil:
 			last = progressOf(status, version)
-		case permanent(err):
+		case isPermanent(err):
 			return err
 		case ctx.Err() == nil:
 			last.Note = "status is not available: " + firstLine(err)
@@ -175,8 +175,8 @@
 	}
 }
 
-// permanent reports whether asking again for the status is pointless. Members that are away come back.
-func permanent(err error) bool {
+// isPermanent reports whether asking again for the status is pointless. Members that are away come back.
+func isPermanent(err error) bool {
 	return !errors.IsAny(err, operator.ErrUnreachable, operator.ErrNoQuorum, operator.ErrNotLeader,
 		operator.ErrInternal, operator.ErrOutcomeUnknown)
 }
@@ -215,12 +215,12 @@
 	return &plainDisplay{out: out}
 }
 
-// lines formats a progress.
-func lines(p progress) []string {
+// formatProgress formats a progress.
+func formatProgress(p progress) []string {
 	list := []string{fmt.Sprintf("version %d: %s, %s", p.Version, p.State, summarize(p))}
 	for _, zone := range p.Zones {
-		list = append(list, fmt.Sprintf("  %-16s %s %d/%d, %s", zone.Zone, bar(zone.InForce, zone.Proxies), zone.InForce,
-			zone.Proxies, age(zone.AgeMs)))
+		list = append(list, fmt.Sprintf("  %-16s %s %d/%d, %s", zone.Zone, progressBar(zone.InForce, zone.Proxies), zone.InForce,
+			zone.Proxies, formatCountsAge(zone.AgeMs)))
 		for _, proxy := range zone.Lagging {
 			list = append(list, fmt.Sprintf("    %s has version %d: %s", proxy.ID, proxy.Version, proxy.Reason))
 		}
@@ -228,7 +228,7 @@
 	return list
 }
 
-func bar(part, whole int) string {
+func progressBar(part, whole int) string {
 	filled := 0
 	if whole > 0 {
 		filled = min(max(progressWidth*part/whole, 0), progressWidth)
@@ -236,8 +236,8 @@
 	return "[" + strings.Repeat("#", filled) + strings.Repeat(".", progressWidth-filled) + "]"
 }
 
-// age formats the age of figures.
-func age(ms int64) string {
+// formatCountsAge formats the formatCountsAge of figures.
+func formatCountsAge(ms int64) string {
 	if ms == operator.AgeUnknown {
 		return "no figures yet"
 	}
@@ -246,8 +246,8 @@
 
 // liveDisplay redraws a block of lines on a terminal.
 type liveDisplay struct {
-	out   io.Writer
-	drawn int
+	out        io.Writer
+	drawnLines int
 }
 
 // ANSI sequences that move the cursor to the start of the block and clear the screen below it.
@@ -258,16 +258,16 @@
 
 func (d *liveDisplay) show(p progress) error {
 	var text strings.Builder
-	if d.drawn > 0 {
-		fmt.Fprintf(&text, cursorUp, d.drawn)
+	if d.drawnLines > 0 {
+		fmt.Fprintf(&text, cursorUp, d.drawnLines)
 	}
 	text.WriteString(clearBelow)
-	list := lines(p)
+	list := formatProgress(p)
 	for _, line := range list {
 		text.WriteString(printable(line))
 		text.WriteString("\n")
 	}
-	d.drawn = len(list)
+	d.drawnLines = len(list)
 	_, err := io.WriteString(d.out, text.String())
 	return errors.Wrap(err, "write output")
 }
@@ -284,42 +284,42 @@
 
 // plainDisplay writes a line when something but the age of the figures changes.
 type plainDisplay struct {
-	out   io.Writer
-	shown map[string]bool
+	out           io.Writer
+	previousLines map[string]bool
 }
 
 func (d *plainDisplay) show(p progress) error {
 	current := make(map[string]bool)
-	for i, line := range lines(p) {
+	for i, line := range formatProgress(p) {
 		line = printable(line)
 		key := line
 		if i > 0 && strings.Contains(line, "figures") {
 			key, _, _ = strings.Cut(line, ", ")
 		}
 		current[key] = true
-		if d.shown[key] {
+		if d.previousLines[key] {
 			continue
 		}
 		if _, err := fmt.Fprintln(d.out, line); err != nil {
 			return errors.Wrap(err, "write output")
 		}
 	}
-	d.shown = current
+	d.previousLines = current
 	return nil
 }
 
 // jsonDisplay writes one JSON object per line when the progress changes.
 type jsonDisplay struct {
-	out   io.Writer
-	shown string
+	out      io.Writer
+	previous string
 }
 
 func (d *jsonDisplay) show(p progress) error {
 	key := fmt.Sprint(withoutAges(p))
-	if key == d.shown {
+	if key == d.previous {
 		return nil
 	}
-	d.shown = key
+	d.previous = key
 	return errors.Wrap(json.NewEncoder(d.out).Encode(p), "write output")
 }
 
