--- a/ctl/approve.go
+++ b/ctl/approve.go
@@ -15,11 +15,13 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// rolloutOptions is what approve and replace do.
+// rolloutOptions holds the arguments and flags of approve and replace.
 type rolloutOptions struct {
-	bundlePath   string
-	version      uint64
-	replaces     uint64
+	bundlePath string
+	version    uint64
+	// replaces is the version that must still be the latest; 0 for approve.
+	replaces uint64
+	// approvalFile holds an approval that was signed before. If it is empty, the command signs one with the key of --key.
 	approvalFile string
 	wait         bool
 }
@@ -30,15 +32,15 @@
 		Use:   "approve FOLDER|FILE --version N",
 		Short: "Validate, stage and approve a bundle",
 		Long: "Validate, stage and approve a bundle. Running the command again with the same bundle and version is safe:\n" +
-			"it takes effect once and gives the first answer.",
+			"it takes effect once and returns the first result again.",
 		Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			r.bundlePath = args[0]
 			return a.rollOut(c, r)
 		},
 	}
-	command.Flags().Uint64Var(&r.version, "version", 0, "version, greater than the latest")
-	command.Flags().StringVar(&r.approvalFile, "approval", "", "approval file of 'bundle sign'; replaces --version and --key")
+	command.Flags().Uint64Var(&r.version, "version", 0, "version of the bundle, greater than the latest one")
+	command.Flags().StringVar(&r.approvalFile, "approval", "", "approval file of 'bundle sign', instead of --version and --key")
 	command.Flags().BoolVar(&r.wait, "wait", false, "watch until the version is in force on every proxy")
 	return command
 }
@@ -68,7 +70,8 @@
 	return command
 }
 
-// rollOut validates, stages and approves a bundle, and waits if asked to.
+// rollOut validates, stages and approves a bundle. With --wait it then watches the rollout. Its JSON output with --wait
+// is that of the watch alone.
 func (a *app) rollOut(c *cobra.Command, r rolloutOptions) error {
 	b, err := openBundle(r.bundlePath)
 	if err != nil {
@@ -100,7 +103,7 @@
 	return nil
 }
 
-// approvalFor signs an approval, or reads one that was signed elsewhere.
+// approvalFor reads the approval of the bundle from the approval file, or signs one if no file is given.
 func (a *app) approvalFor(b builtBundle, r rolloutOptions) (bundle.Approval, error) {
 	if r.approvalFile == "" {
 		return a.sign(b.update.Target, r.version, r.replaces)
@@ -123,8 +126,11 @@
 	return approval, nil
 }
 
-// submit stages and approves. The approval of a bundle that was staged before and dropped in between is repeated once.
-func submit(ctx context.Context, api operator.Backend, b builtBundle, approval bundle.Approval) (operator.Decision, error) {
+// submit stages and approves a bundle. It repeats both steps once if the members no longer have the bundle when the
+// approval arrives: they keep a limited number of staged bundles and drop the oldest.
+func submit(
+	ctx context.Context, api operator.Backend, b builtBundle, approval bundle.Approval,
+) (operator.Decision, error) {
 	decision, err := stageAndApprove(ctx, api, b, approval)
 	if errors.Is(err, operator.ErrNotStaged) {
 		return stageAndApprove(ctx, api, b, approval)
@@ -162,7 +168,7 @@
 		Use:   "stop VERSION",
 		Short: "Withdraw a staged version, or stop the rollout of the latest one",
 		Long: "Withdraw a staged version, or stop the rollout of the latest one. Proxies that have applied the version keep\n" +
-			"it; no version is ever rolled back. Earlier content returns with 'replace' as a new version.",
+			"it; no version is ever rolled back. To return to earlier content, approve it as a new version with 'replace'.",
 		Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			version, err := parseVersion(args[0])
--- a/ctl/bundle.go
+++ b/ctl/bundle.go
@@ -14,17 +14,17 @@
 	"sapphiregate.example/sapphiregate/state/registry"
 )
 
-// maxBuiltFileBytes bounds a built bundle file.
+// maxBuiltFileBytes limits what is read of a file that 'bundle build' wrote. The members accept no larger update.
 const maxBuiltFileBytes = registry.MaxUpdateBytes
 
-// builtBundle is a bundle with its complete update.
+// builtBundle is a validated bundle with the update that contains all of its parts, decoded and encoded.
 type builtBundle struct {
 	bundle  *bundle.Bundle
 	update  bundle.Update
 	encoded []byte
 }
 
-// openBundle reads a folder of bundle files or a file that 'bundle build' wrote, and validates it.
+// openBundle reads and validates a bundle from a folder of bundle files or from a file that 'bundle build' wrote.
 func openBundle(path string) (builtBundle, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return builtBundle{bundle: b, update: update, encoded: encoded}, bundle.Validate(b).Err()
 }
 
-// summary is the output of validate and build.
+// summary is the output of bundle validate and bundle build. File is the path of the written file.
 type summary struct {
 	Digest    bundle.Digest `json:"digest"`
 	Services  int           `json:"services"`
@@ -104,7 +104,7 @@
 func (a *app) validateCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "validate FOLDER|FILE",
-		Short: "Check a bundle and list all of its faults",
+		Short: "Check a bundle and list all of its errors",
 		Args:  exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			b, err := openBundle(args[0])
@@ -196,7 +196,7 @@
 	return command
 }
 
-// sign returns an approval with the signature of the operator's key.
+// sign returns an approval that is signed with the key of --key.
 func (a *app) sign(digest bundle.Digest, version, replaces uint64) (bundle.Approval, error) {
 	if version == 0 {
 		return bundle.Approval{}, usageError("--version is not set")
@@ -226,7 +226,7 @@
 	return a.print(c, approval, func(w io.Writer) { fmt.Fprintf(w, "approval\t%s\n", file) })
 }
 
-// parseVersion reads a version argument.
+// parseVersion parses the version that a command takes as an argument.
 func parseVersion(text string) (uint64, error) {
 	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || version == 0 {
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -32,17 +32,18 @@
 
 const kalasagBundle = "../examples/kalasag"
 
-// fakeMember is a stand-in for a control fakeMember over a registry, with a script of zone figures for status.
+// fakeMember serves the operator API over a registry, without a group of members.
 type fakeMember struct {
 	operator.Backend
 	mu       sync.Mutex
 	registry *registry.Registry
 	index    uint64
+	// zones holds the zones of successive status responses. The last element repeats.
 	zones    [][]operator.ZoneStatus
 	replaced operator.ReplaceMemberRequest
-	// dropStaged makes the next approval find its bundle dropStaged, as after 16 other stages.
+	// dropStaged makes the next approval fail as if its staged bundle had been dropped for newer ones.
 	dropStaged bool
-	// interrupt cancels the command during the given status request.
+	// interrupt cancels the command during the status request in which interruptAt reaches 0; each request decrements it.
 	interrupt   func()
 	interruptAt int
 }
@@ -121,7 +122,8 @@
 	return operator.DumpResponse{Member: "m1", State: json.RawMessage(`{"term":3}`)}, nil
 }
 
-// zoneStatus returns the figures of a zoneStatus with 4 proxies, of which some have version 2 and the others version 1.
+// zoneStatus returns the counts of a zone with 4 proxies, of which some have version 2 in force and the others version 1.
+// The age of the counts is in milliseconds.
 func zoneStatus(inForce int, age int64) operator.ZoneStatus {
 	z := operator.ZoneStatus{Zone: "luzon-a", Proxies: 4, LowestVersion: 1, AgeMs: age,
 		Versions: []operator.VersionCount{{Version: 2, Proxies: inForce}, {Version: 1, Proxies: 4 - inForce}}}
@@ -131,7 +133,7 @@
 	return z
 }
 
-// harness runs commands against a member.
+// harness runs commands against a fakeMember. Its folder holds the private keys of the operators ana and ben.
 type harness struct {
 	member  *fakeMember
 	address string
@@ -154,7 +156,7 @@
 	return h
 }
 
-// run executes a command as an operator and returns its outputs and exit code.
+// run executes a command with the key of the named operator and returns its outputs and exit code.
 func (h *harness) run(name string, args ...string) (stdout, stderr string, code int) {
 	var out, errs bytes.Buffer
 	root := ctl.NewRoot()
@@ -169,6 +171,7 @@
 	return out.String(), errs.String(), code
 }
 
+// mustRun executes a command as ana and returns its standard output. The command has to succeed.
 func (h *harness) mustRun(args ...string) string {
 	GinkgoHelper()
 	stdout, stderr, code := h.run("ana", args...)
@@ -180,7 +183,7 @@
 	var h *harness
 	BeforeEach(func() { h = newHarness() })
 
-	It("approves, gives the first answer to a repeated command and names the winner of a race", func() {
+	It("approves, returns the first result to a repeated command and names the operator who won the version", func() {
 		first := h.mustRun("approve", kalasagBundle, "--version", "1")
 		Expect(first).To(ContainSubstring("version 1 approved at log index 2"))
 		Expect(h.mustRun("approve", kalasagBundle, "--version", "1")).To(Equal(first))
@@ -194,7 +197,7 @@
 		Expect(failure.Error.Code).To(Equal("version-taken"))
 	})
 
-	It("approves what was built and signed elsewhere, and nothing else", func() {
+	It("approves a built bundle with an approval signed before, and refuses another or a damaged bundle", func() {
 		file, approval := filepath.Join(h.folder, "k.bundle"), filepath.Join(h.folder, "approval")
 		h.mustRun("bundle", "build", kalasagBundle, "--file", file)
 		Expect(h.mustRun("bundle", "diff", kalasagBundle, file)).To(Equal("no differences\n"))
@@ -211,12 +214,12 @@
 		Expect(h.member.registry.State().Latest.Version).To(Equal(uint64(4)))
 	})
 
-	It("stages again when the bundle was dropped before its approval", func() {
+	It("stages again when the staged bundle was dropped before its approval", func() {
 		h.member.dropStaged = true
 		Expect(h.mustRun("approve", kalasagBundle, "--version", "1")).To(ContainSubstring("approved"))
 	})
 
-	It("lists all faults of a bundle and stages nothing", func() {
+	It("lists all errors of an invalid bundle and stages nothing", func() {
 		folder := GinkgoT().TempDir()
 		Expect(os.WriteFile(filepath.Join(folder, "b.json"), []byte(`{"services":[{"name":"A"}],"x":1}`), 0o644)).To(Succeed())
 		_, stderr, code := h.run("ana", "approve", folder, "--version", "1")
@@ -225,7 +228,7 @@
 		Expect(h.member.index).To(BeZero())
 	})
 
-	It("watches until every proxy has the version, with a line for each change when the output is no terminal", func() {
+	It("watches until every proxy has the version, and writes only changed lines when the output is not a terminal", func() {
 		h.mustRun("approve", kalasagBundle, "--version", "1")
 		h.member.zones = [][]operator.ZoneStatus{{zoneStatus(1, 0)}, {zoneStatus(1, 200)}, {zoneStatus(4, 20_000)}, {zoneStatus(4, 100)}}
 		out := h.mustRun("replace", "1", "2", "../examples/kartuli", "--wait")
@@ -244,7 +247,7 @@
 		Expect(out[1]).To(ContainSubstring(`"state":"in-force"`))
 	})
 
-	It("ends a watch with its own exit code when the rollout is stopped or the wait ends", func() {
+	It("has exit codes of their own for a watch that is interrupted or times out and for a stopped rollout", func() {
 		h.mustRun("approve", kalasagBundle, "--version", "2")
 		h.member.zones = [][]operator.ZoneStatus{{zoneStatus(1, 0)}}
 		h.member.interruptAt = 4
@@ -260,7 +263,7 @@
 		Expect(h.mustRun("status")).To(And(ContainSubstring("2, stopped"), ContainSubstring("n7 in luzon-a has version 1")))
 	})
 
-	It("never counts a mesh without proxies as in force", func() {
+	It("does not report a version as in force while no proxy is counted", func() {
 		h.mustRun("approve", kalasagBundle, "--version", "1")
 		h.member.interruptAt = 3
 		_, stderr, code := h.run("ana", "watch", "1")
@@ -268,7 +271,7 @@
 		Expect(stderr).To(ContainSubstring("no proxy is counted"))
 	})
 
-	It("refuses a replacement after another operator's version, and says what to do", func() {
+	It("refuses to replace a version that is no longer the latest, and names the next step", func() {
 		h.mustRun("approve", kalasagBundle, "--version", "1")
 		h.mustRun("approve", kalasagBundle, "--version", "2")
 		_, stderr, code := h.run("ben", "replace", "1", "3", kalasagBundle)
@@ -276,7 +279,7 @@
 		Expect(stderr).To(And(ContainSubstring("winner: version 2"), ContainSubstring("next: run 'sapphirectl status'")))
 	})
 
-	It("replaces a member in the zone of the old one", func() {
+	It("puts a replacement member into the zone of the old one, and refuses to replace an unknown member", func() {
 		h.mustRun("members", "replace", "old", "new", "--address", "10.0.0.9:7000")
 		Expect(h.member.replaced.Zone).To(Equal("luzon-b"))
 		Expect(h.mustRun("members", "list")).To(ContainSubstring("learner"))
@@ -284,13 +287,13 @@
 		Expect(code).To(Equal(ctl.ExitRefused))
 	})
 
-	It("shows and clears the quarantine without control characters in the output", func() {
+	It("shows the quarantine without control characters, clears it, and prints the state dump", func() {
 		Expect(h.mustRun("quarantine", "list")).To(And(ContainSubstring("ab?[2J"), Not(ContainSubstring("\x1b"))))
 		Expect(h.mustRun("quarantine", "clear", "ab")).To(Equal("1 cleared\n"))
 		Expect(h.mustRun("dump")).To(ContainSubstring(`"term": 3`))
 	})
 
-	It("generates keys that the members accept", func() {
+	It("generates a private key whose signatures the generated keyring verifies", func() {
 		out := h.mustRun("keys", "generate", "eve", "--folder", h.folder, "-o", "json")
 		var files struct{ Private, Keyring string }
 		Expect(json.Unmarshal([]byte(out), &files)).To(Succeed())
@@ -301,7 +304,7 @@
 		Expect(ring.Verify(bundle.Sign(key.Key, bundle.Approval{Version: 1, Operator: "eve"}))).To(Succeed())
 	})
 
-	DescribeTable("tells wrong usage from refusals",
+	DescribeTable("reports wrong usage with its own exit code and a next step",
 		func(args ...string) {
 			_, stderr, code := h.run("ana", args...)
 			Expect(code).To(Equal(ctl.ExitUsage), stderr)
@@ -317,7 +320,7 @@
 		Entry("no version", "approve", kalasagBundle),
 	)
 
-	It("documents every command and exit code, so that the guide does not fall behind", func() {
+	It("has every command and exit code on the operators' page", func() {
 		data, err := os.ReadFile("../docs/operators.md")
 		Expect(err).NotTo(HaveOccurred())
 		page := string(data)
@@ -338,7 +341,7 @@
 		}
 	})
 
-	It("reports a control member that cannot be reached with its own exit code", func() {
+	It("reports an unreachable control member with its own exit code", func() {
 		h.address = "127.0.0.1:1"
 		_, _, code := h.run("ana", "status", "--timeout", "50ms")
 		Expect(code).To(Equal(ctl.ExitUnreachable))
--- a/ctl/display_test.go
+++ b/ctl/display_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("Live display", func() {
-	It("redraws its block in place and lets no name control the terminal", func() {
+	It("redraws its lines in place and replaces control characters in names", func() {
 		var out bytes.Buffer
 		display := &liveDisplay{out: &out}
 		p := progress{Version: 2, Zones: []zoneProgress{{Zone: "a", Proxies: 2, InForce: 1,
@@ -21,7 +21,7 @@
 		out.Reset()
 		p.Zones = nil
 		Expect(display.show(p)).To(Succeed())
-		Expect(out.String()).To(HavePrefix("\x1b[3A\r\x1b[J"), "the cursor goes up by the lines that were drawn")
+		Expect(out.String()).To(HavePrefix("\x1b[3A\r\x1b[J"), "the cursor must go up by the number of lines drawn before")
 		out.Reset()
 		Expect(display.show(p)).To(Succeed())
 		Expect(out.String()).To(HavePrefix("\x1b[1A\r\x1b[J"))
--- a/ctl/exit.go
+++ b/ctl/exit.go
@@ -25,7 +25,8 @@
 	ExitUnreachable = 5
 	// ExitUnknown means that the request may or may not have taken effect; running the same command again is safe.
 	ExitUnknown = 6
-	// ExitNotInForce means that the version was not in force everywhere when the wait ended.
+	// ExitNotInForce means that the version was not in force on every proxy when --wait-timeout passed or the command was
+	// interrupted.
 	ExitNotInForce = 7
 	// ExitStopped means that the rollout that was watched is stopped.
 	ExitStopped = 8
@@ -35,25 +36,28 @@
 var (
 	// ErrUsage reports wrong arguments or flags.
 	ErrUsage = errors.New("wrong usage")
-	// ErrNotInForce reports that a wait ended before the version was in force everywhere.
+	// ErrNotInForce reports that a watch ended before the version was in force on every proxy.
 	ErrNotInForce = errors.New("version is not in force everywhere")
 	// ErrStopped reports that the watched rollout is stopped.
 	ErrStopped = errors.New("rollout is stopped")
 )
 
-// errorClass is the exit code and the next step for one kind of error.
+// errorClass describes how one kind of error is reported.
 type errorClass struct {
-	target   error
+	// target is the error that errors.Is finds in errors of this class.
+	target error
+	// code is the error code of the JSON output. If it is empty, the code of the operator API is used.
 	code     string
 	exitCode int
-	next     string
+	// next tells the operator what to do.
+	next string
 }
 
-// errorClasses lists the kinds of errors. The first that matches applies.
+// errorClasses lists the known classes. The first one that matches an error applies.
 var errorClasses = []errorClass{
 	{ErrUsage, "usage", ExitUsage, "run the command with --help"},
 	{ErrNotInForce, "not-in-force", ExitNotInForce,
-		"run 'sapphirectl watch' to go on, or see 'slow convergence' in docs/operators.md"},
+		"run 'sapphirectl watch' to keep watching, or see 'slow convergence' in docs/operators.md"},
 	{ErrStopped, "stopped", ExitStopped, "approve a corrected bundle with 'sapphirectl replace'"},
 	{operator.ErrVersionTaken, "", ExitRefused,
 		"another operator won the version: agree with them on the content, then choose a greater version"},
@@ -74,10 +78,10 @@
 		"nothing was changed; see 'lost quorum' in docs/operators.md, and run the command again once a quorum is back"},
 	{operator.ErrUnreachable, "", ExitUnreachable,
 		"check --control and the TLS flags, and that the control members run"},
-	{operator.ErrInternal, "", ExitFailure, "look into the log of the control member"},
+	{operator.ErrInternal, "", ExitFailure, "check the log of the control member"},
 }
 
-// classify returns what is known about an error.
+// classify returns the class of an error. An error of no known class gets ExitFailure and no next step.
 func classify(err error) errorClass {
 	var problems bundle.Problems
 	if errors.As(err, &problems) {
@@ -91,7 +95,7 @@
 			return candidate
 		}
 	}
-	// cobra has no error value for unknown commands.
+	// cobra has no error value for unknown commands, so the message is matched.
 	if strings.HasPrefix(err.Error(), "unknown command") {
 		return errorClasses[0]
 	}
--- a/ctl/keys.go
+++ b/ctl/keys.go
@@ -11,7 +11,7 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// keyFiles is the output of keys generate.
+// keyFiles is the output of keys generate: the operator's name and the paths of the two files.
 type keyFiles struct {
 	Operator string `json:"operator"`
 	Private  string `json:"private"`
@@ -50,6 +50,6 @@
 			})
 		},
 	}
-	command.Flags().StringVar(&folder, "folder", ".", "folder of the files")
+	command.Flags().StringVar(&folder, "folder", ".", "folder to write the files to")
 	return command
 }
--- a/ctl/root.go
+++ b/ctl/root.go
@@ -1,4 +1,4 @@
-// Package ctl is the command tree of sapphirectl, the operators' tool.
+// Package ctl implements the commands of sapphirectl, the operators' command line tool.
 package ctl
 
 import (
@@ -29,7 +29,8 @@
 	EnvInsecure = "SAPPHIRECTL_INSECURE"
 )
 
-// defaultTimeout bounds a command that does not wait for a rollout. It covers several elections.
+// defaultTimeout limits a command that does not wait for a rollout or a membership change. It is long enough for several
+// leader elections of the control members.
 const defaultTimeout = 30 * time.Second
 
 // The output formats.
@@ -38,7 +39,7 @@
 	outputJSON = "json"
 )
 
-// app holds the flags that all commands share.
+// app holds the values of the flags that all commands share. Its methods create and run the commands.
 type app struct {
 	control  []string
 	output   string
@@ -46,13 +47,13 @@
 	operator string
 	timeout  time.Duration
 	tls      settings.TLS
-	// waitTimeout bounds waits for a rollout or for a member.
+	// waitTimeout limits commands that wait for a rollout or a membership change.
 	waitTimeout time.Duration
-	// interval is the time between the status requests of a watch.
+	// interval is the time between two status requests of a watch.
 	interval time.Duration
 }
 
-// NewRoot returns the command tree. Further commands are added with AddCommand.
+// NewRoot returns the root command with all commands of this package. Callers may add more with AddCommand.
 func NewRoot() *cobra.Command {
 	a := &app{}
 	root := &cobra.Command{
@@ -81,13 +82,13 @@
 	flags.StringSliceVar(&a.control, "control", control, "operator API addresses of control members, host:port ($"+EnvControl+")")
 	flags.StringVarP(&a.output, "output", "o", outputText, "output format: text or json")
 	flags.StringVar(&a.key, "key", os.Getenv(EnvKey), "private key file of the operator ($"+EnvKey+")")
-	flags.StringVar(&a.operator, "operator", "", "operator name for commands that are not signed; default: that of --key")
-	flags.DurationVar(&a.timeout, "timeout", defaultTimeout, "longest time that requests of the command take")
-	flags.DurationVar(&a.waitTimeout, "wait-timeout", defaultWaitTimeout, "longest time of watch, --wait and changes of members")
-	flags.DurationVar(&a.interval, "interval", defaultWatchInterval, "time between the status requests of a watch")
+	flags.StringVar(&a.operator, "operator", "", "operator name for commands that are not signed; default: the name in the --key file")
+	flags.DurationVar(&a.timeout, "timeout", defaultTimeout, "time limit for the requests of the command")
+	flags.DurationVar(&a.waitTimeout, "wait-timeout", defaultWaitTimeout, "time limit for watch, --wait and changes of members")
+	flags.DurationVar(&a.interval, "interval", defaultWatchInterval, "time between two status requests of a watch")
 	flags.StringVar(&a.tls.Certificate, "tls-cert", os.Getenv(EnvTLSCert), "client certificate file ($"+EnvTLSCert+")")
 	flags.StringVar(&a.tls.Key, "tls-key", os.Getenv(EnvTLSKey), "client key file ($"+EnvTLSKey+")")
-	flags.StringVar(&a.tls.CA, "tls-ca", os.Getenv(EnvTLSCA), "certificates that sign those of the members ($"+EnvTLSCA+")")
+	flags.StringVar(&a.tls.CA, "tls-ca", os.Getenv(EnvTLSCA), "CA certificates that the members' certificates are checked against ($"+EnvTLSCA+")")
 	flags.BoolVar(&a.tls.Insecure, "insecure", os.Getenv(EnvInsecure) == "true", "connect without TLS ($"+EnvInsecure+"=true)")
 }
 
@@ -101,7 +102,8 @@
 	return nil
 }
 
-// Execute runs the command tree, prints an error with the next step and returns the exit code.
+// Execute runs the command that the arguments name and returns the exit code. It prints an error to the error output,
+// together with what the operator can do next.
 func Execute(ctx context.Context, root *cobra.Command) int {
 	command, err := root.ExecuteContextC(ctx)
 	if err == nil {
@@ -137,7 +139,7 @@
 		out.Problems = problems
 	}
 	if format == outputJSON {
-		// A diagnostic that cannot be written has no other place to go.
+		// Ignored: there is no other output to report a failed write to.
 		_ = json.NewEncoder(w).Encode(map[string]errorOutput{"error": out})
 		return
 	}
@@ -156,7 +158,7 @@
 	}
 }
 
-// client returns a client for the flags.
+// client returns a client for the control members that the flags name.
 func (a *app) client() (*operator.Client, error) {
 	if len(a.control) == 0 {
 		return nil, usageError("--control is not set")
@@ -172,12 +174,12 @@
 	return client, nil
 }
 
-// requestContext returns a context that ends after --timeout.
+// requestContext returns the command's context, limited by --timeout.
 func (a *app) requestContext(c *cobra.Command) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(c.Context(), a.timeout)
 }
 
-// waitContext returns a context that ends after --wait-timeout.
+// waitContext returns the command's context, limited by --wait-timeout.
 func (a *app) waitContext(c *cobra.Command) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(c.Context(), a.waitTimeout)
 }
@@ -190,7 +192,8 @@
 	return bundle.LoadKey(a.key)
 }
 
-// operatorName returns the operator for commands that are not signed.
+// operatorName returns the operator's name for commands that are not signed: that of --operator, or the one in the key
+// file.
 func (a *app) operatorName() (string, error) {
 	if a.operator != "" {
 		return a.operator, nil
@@ -199,7 +202,8 @@
 	return key.Operator, err
 }
 
-// print writes a value as JSON, or as text by the given function.
+// print writes a value to the command's output: as JSON with --output json, otherwise with writeText. The writer that
+// writeText gets aligns columns that are separated by tabs.
 func (a *app) print(c *cobra.Command, value any, writeText func(w io.Writer)) error {
 	out := c.OutOrStdout()
 	if a.output == outputJSON {
@@ -212,7 +216,7 @@
 	return errors.Wrap(table.Flush(), "write output")
 }
 
-// commandGroup returns a command that only holds subcommands.
+// commandGroup returns a command that does nothing by itself and contains subcommands.
 func commandGroup(use, short string, commands ...*cobra.Command) *cobra.Command {
 	parent := &cobra.Command{Use: use, Short: short, RunE: func(c *cobra.Command, args []string) error {
 		return usageError("%s: choose one of its subcommands", c.CommandPath())
@@ -221,7 +225,7 @@
 	return parent
 }
 
-// exactArgs checks the number of arguments.
+// exactArgs is cobra.ExactArgs with a usage error.
 func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != n {
--- a/ctl/show.go
+++ b/ctl/show.go
@@ -79,7 +79,7 @@
 	return text
 }
 
-// formatAge formats an age in milliseconds.
+// formatAge formats an age in milliseconds; operator.AgeUnknown is "never".
 func formatAge(ms int64) string {
 	if ms == operator.AgeUnknown {
 		return "never"
@@ -210,8 +210,8 @@
 		a.memberListCommand(), a.memberAddCommand(), a.memberRemoveCommand(), a.memberReplaceCommand())
 }
 
-// runMembersRequest runs a request on the members and prints the resulting membership. The deadline is that of a wait, as a
-// learner has to catch up before it is promoted.
+// runMembersRequest calls send with a client and prints the membership that it returns. Commands that change the
+// membership use waitContext in send, because a new member has to catch up with the log before it votes.
 func (a *app) runMembersRequest(
 	c *cobra.Command, send func(c *cobra.Command, api *operator.Client) (operator.MembersResponse, error),
 ) error {
@@ -315,6 +315,7 @@
 	return command
 }
 
+// replaceMember sends the request. If it names no zone, the new member is in the zone of the old one.
 func (a *app) replaceMember(
 	c *cobra.Command, api *operator.Client, request operator.ReplaceMemberRequest,
 ) (operator.MembersResponse, error) {
--- a/ctl/trace.go
+++ b/ctl/trace.go
@@ -18,13 +18,13 @@
 	"sapphiregate.example/sapphiregate/protocol"
 )
 
-// maxLogLine bounds one line of a log file. A line about a request has less than 1 KiB.
+// maxLogLine limits one line of a log file, in bytes. A line about a request is shorter than 1 KiB.
 const maxLogLine = 1 << 20
 
-// ErrNotLogged reports that no line of the given logs names a request.
+// ErrNotLogged reports that no line of the given logs has the request's identifier.
 var ErrNotLogged = errors.New("the request is not in the logs")
 
-// logLine is a line about a request. Fields that a line lacks are zero.
+// logLine is a log line about a request. Fields that the line does not have are zero.
 type logLine struct {
 	Instance       string           `json:"instance,omitempty"`
 	Time           time.Time        `json:"time"`
@@ -52,20 +52,21 @@
 	LinesDropped   int              `json:"lines_dropped,omitempty"`
 }
 
-// requestTrace is the path of one request through the processes.
+// requestTrace is the path of one request through the processes, taken from their logs.
 type requestTrace struct {
 	Request string    `json:"request"`
 	Lines   []logLine `json:"lines"`
-	// Dropped is the number of lines about requests that the given logs left out; the path may then have gaps.
+	// Dropped is the number of lines about any request that the processes did not write, because they limit the rate of
+	// such lines. If it is not 0, lines of this request may be missing.
 	Dropped int `json:"lines_dropped"`
-	// Cause explains the reason that ended the request.
+	// Cause explains the reason in the last line.
 	Cause string `json:"cause,omitempty"`
 }
 
 func (a *app) traceCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "trace REQUEST FILE...",
-		Short: "Show a request's path through the processes from their log files, in the order of cause",
+		Short: "Show a request's path through the processes from their log files, in causal order",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) < 2 {
 				return usageError("%s takes a request and at least one log file", c.CommandPath())
@@ -80,7 +81,7 @@
 				}
 			}
 			if len(trace.Lines) == 0 {
-				return errors.Wrapf(ErrNotLogged, "%s, in %d files; %d lines were left out of them", args[0], len(args)-1, trace.Dropped)
+				return errors.Wrapf(ErrNotLogged, "request %s, %d files read, %d lines left out of them", args[0], len(args)-1, trace.Dropped)
 			}
 			trace.sortByCause()
 			return a.print(c, trace, trace.print)
@@ -97,8 +98,8 @@
 	return errors.Wrapf(t.read(file), "read %s", name)
 }
 
-// read takes the lines about the request. Text before the JSON object of a line, as log collectors add it, is skipped, and
-// so are lines of other programs.
+// read adds the lines about the request. It skips the text that log collectors put before the JSON object of a line, and
+// lines without a JSON object.
 func (t *requestTrace) read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLogLine)
@@ -119,8 +120,10 @@
 	return scanner.Err()
 }
 
-// sortByCause sorts the lines by cause: clocks of instances differ, but the node that took the request in lists the instances
-// in the sortByCause in which it tried them, and its own last line comes after theirs.
+// sortByCause sorts the lines in causal order and sets Cause. Times of different instances cannot be compared, as their
+// clocks differ. The node that received the request from the caller logs the instances in the order in which it tried
+// them: the lines of each instance come in that order, each followed by the line about the failed attempt, and the final
+// line of the receiving node comes last.
 func (t *requestTrace) sortByCause() {
 	var tried []string
 	for _, line := range t.Lines {
@@ -150,12 +153,13 @@
 	t.Cause = reasonExplanations[t.Lines[len(t.Lines)-1].Reason]
 }
 
-// isFinal reports whether the line is the last one of the node that took the request in.
+// isFinal reports whether the line is the last one about the request from the node that received it from the caller.
 func (l *logLine) isFinal() bool {
 	return l.Message == logging.RequestFailed || l.Message == logging.RequestAnswered || l.Message == logging.RequestRefused
 }
 
-// triedSuffix names the instance that a line is triedSuffix, if that is not the one that wrote it.
+// triedSuffix names the instance whose attempt failed, for a line of the node that called it. It is empty for other
+// lines.
 func (l *logLine) triedSuffix() string {
 	if l.TriedInstance == "" {
 		return ""
@@ -182,7 +186,7 @@
 	}
 }
 
-// reasonExplanations explains the reasons and names the next place to look.
+// reasonExplanations says for each reason what happened and where to look next.
 var reasonExplanations = map[protocol.Reason]string{
 	protocol.ReasonShed: "no slot was expected in time; see SLOTS, and which upstreams of the service announced " +
 		"themselves or left before",
@@ -193,11 +197,11 @@
 	protocol.ReasonDraining:          "the instance was leaving; see its 'upstream is leaving'",
 	protocol.ReasonCallLimit:         "the route's call limit was reached",
 	protocol.ReasonQuarantined:       "the request is in quarantine, since it crashed upstreams; see 'sapphirectl quarantine'",
-	protocol.ReasonUpstreamFailed:    "the upstream broke the connection or its answer was not genuine; see its own log",
+	protocol.ReasonUpstreamFailed:    "the upstream broke the connection or its response was not valid; see its own log",
 	protocol.ReasonUpstreamRefused:   "the upstream said that it has not run the request",
 	protocol.ReasonUnreachable:       "the upstream took no connection",
-	protocol.ReasonTruncated:         "the upstream cut its answer",
-	protocol.ReasonNodeFailed:        "the instance or the way to it broke; see whether its process ended or started at that time",
+	protocol.ReasonTruncated:         "the upstream's response ended before it was complete",
+	protocol.ReasonNodeFailed:        "the instance or the connection to it failed; see whether its process stopped or started at that time",
 	protocol.ReasonCallerGone:        "the caller closed its connection",
 	protocol.ReasonLedgerUnavailable: "the control members did not answer; see who leads them",
 	protocol.ReasonInProgress:        "an earlier request with this key has no recorded answer yet",
--- a/ctl/trace_test.go
+++ b/ctl/trace_test.go
@@ -30,8 +30,8 @@
 	}
 	BeforeEach(func() { folder = GinkgoT().TempDir() })
 
-	// Guards against a path in the order of clocks: that of n2 is an hour ahead, and that of n3 an hour late.
-	It("orders the lines of a request by cause", func() {
+	// Guards against sorting by time, which is wrong when clocks differ: here n2 is an hour ahead and n3 an hour behind.
+	It("shows the lines of a request in causal order although clocks differ", func() {
 		n1 := write("n1.log", `noise
 2026 n1 {"instance":"n1","time":"2026-12-04T10:00:00Z","request":"r1","tried_instance":"n2","reason":"shed","outcome":"not-run","message":"attempt failed; another instance gets the request"}
 {"instance":"n1","time":"2026-12-04T10:00:00Z","request":"r1","tried":["n2","n3"],"reason":"upstream-failed","outcome":"unknown","took_ms":7,"version":4,"message":"request failed"}
@@ -49,7 +49,7 @@
 		Expect(out).To(ContainSubstring("3 lines about requests were left out"))
 	})
 
-	It("says that a request is not in the logs, and refuses files that it cannot read", func() {
+	It("reports a request that is not in the logs, a file that cannot be read, and a missing file argument", func() {
 		file := write("n1.log", "{\"request\":\"r2\",\"message\":\"request failed\"}\n{")
 		_, problem, code := trace("trace", "r1", file)
 		Expect(code).To(Equal(ctl.ExitFailure))
--- a/ctl/watch.go
+++ b/ctl/watch.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// defaultWatchInterval is the time between status requests. Figures reach a member about once a second.
+	// defaultWatchInterval is the time between two status requests. New proxy counts reach a member about once a second.
 	defaultWatchInterval = 500 * time.Millisecond
-	// defaultWaitTimeout bounds a watch. The longest expected rollout converges within seconds of the last fault.
+	// defaultWaitTimeout limits a watch. A rollout is expected to complete within seconds after the last fault is mended.
 	defaultWaitTimeout = 5 * time.Minute
-	// progressWidth is the number of characters of a progress bar.
+	// progressWidth is the number of characters between the brackets of a progress bar.
 	progressWidth = 20
 )
 
-// progress is what a status says about the rollout of one version.
+// progress is how far the rollout of one version is, according to a status.
 type progress struct {
 	Version uint64         `json:"version"`
 	State   string         `json:"state"`
 	Zones   []zoneProgress `json:"zones"`
-	// Note tells why the rollout is not judged to be complete although all counted proxies may have it.
+	// Note says why State is not "in-force" although all counted proxies may have the version, that no status is available,
+	// or that a later version supersedes this one.
 	Note string `json:"note,omitempty"`
 }
 
@@ -43,7 +44,7 @@
 	Lagging []operator.LaggingProxy `json:"lagging,omitempty"`
 }
 
-// The states of a progress.
+// The values of progress.State.
 const (
 	stateWaiting    = "waiting"
 	stateInProgress = "in-progress"
@@ -51,8 +52,8 @@
 	stateStopped    = "stopped"
 )
 
-// progressOf judges a status. A version counts as in force only if every counted proxy has it or a later one, and all
-// figures are fresh.
+// progressOf returns the progress of a version according to a status. The version is in force only if at least one proxy
+// is counted, every counted proxy has the version or a later one, and all counts are fresh.
 func progressOf(status operator.Status, version uint64) progress {
 	p := progress{Version: version, State: stateInProgress, Zones: []zoneProgress{}}
 	if status.Latest == nil || status.Latest.Version < version {
@@ -127,6 +128,7 @@
 	return command
 }
 
+// latestVersion returns the latest approved version, or operator.ErrUnknownVersion if there is none.
 func (a *app) latestVersion(c *cobra.Command, api operator.Backend) (uint64, error) {
 	ctx, cancel := a.requestContext(c)
 	defer cancel()
@@ -140,7 +142,8 @@
 	return status.Latest.Version, nil
 }
 
-// watch shows the progress until the version is in force, the rollout is stopped or the wait ends.
+// watch shows the progress until the version is in force. It returns ErrStopped once the rollout is stopped and
+// ErrNotInForce when --wait-timeout passes or the command is interrupted.
 func (a *app) watch(c *cobra.Command, api operator.Backend, version uint64) error {
 	ctx, cancel := context.WithTimeout(c.Context(), a.waitTimeout)
 	defer cancel()
@@ -175,7 +178,8 @@
 	}
 }
 
-// isPermanent reports whether asking again for the status is pointless. Members that are away come back.
+// isPermanent reports whether another status request would fail the same way. The errors listed here are temporary, such
+// as unreachable members or a lost quorum.
 func isPermanent(err error) bool {
 	return !errors.IsAny(err, operator.ErrUnreachable, operator.ErrNoQuorum, operator.ErrNotLeader,
 		operator.ErrInternal, operator.ErrOutcomeUnknown)
@@ -186,7 +190,7 @@
 	return line
 }
 
-// summarize tells in one line how far the rollout is.
+// summarize returns one line with the totals of all zones and the note.
 func summarize(p progress) string {
 	inForce, proxies := 0, 0
 	for _, zone := range p.Zones {
@@ -200,11 +204,13 @@
 	return text
 }
 
-// display shows a progress.
+// display writes the progress of a watch each time that it may have changed.
 type display interface {
 	show(p progress) error
 }
 
+// display returns the display for the output format: live on a terminal that understands ANSI sequences, plain text
+// otherwise.
 func (a *app) display(out io.Writer) display {
 	if a.output == outputJSON {
 		return &jsonDisplay{out: out}
@@ -215,7 +221,8 @@
 	return &plainDisplay{out: out}
 }
 
-// formatProgress formats a progress.
+// formatProgress returns the lines that a terminal or a text file shows: a summary, then each zone with its lagging
+// proxies.
 func formatProgress(p progress) []string {
 	list := []string{fmt.Sprintf("version %d: %s, %s", p.Version, p.State, summarize(p))}
 	for _, zone := range p.Zones {
@@ -236,7 +243,7 @@
 	return "[" + strings.Repeat("#", filled) + strings.Repeat(".", progressWidth-filled) + "]"
 }
 
-// formatCountsAge formats the formatCountsAge of figures.
+// formatCountsAge formats the age in milliseconds of a zone's counts.
 func formatCountsAge(ms int64) string {
 	if ms == operator.AgeUnknown {
 		return "no figures yet"
@@ -244,9 +251,10 @@
 	return "figures " + (time.Duration(ms) * time.Millisecond).Round(100*time.Millisecond).String() + " old"
 }
 
-// liveDisplay redraws a block of lines on a terminal.
+// liveDisplay redraws a block of lines in place on a terminal.
 type liveDisplay struct {
-	out        io.Writer
+	out io.Writer
+	// drawnLines is the number of lines of the block on the screen.
 	drawnLines int
 }
 
@@ -272,7 +280,8 @@
 	return errors.Wrap(err, "write output")
 }
 
-// printable replaces control characters, as names and reasons come from other processes.
+// printable replaces control characters with '?'. Names and reasons come from other processes and must not be able to
+// control the operator's terminal.
 func printable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < 0x20 || r == 0x7f {
@@ -282,9 +291,11 @@
 	}, text)
 }
 
-// plainDisplay writes a line when something but the age of the figures changes.
+// plainDisplay writes those lines that were not in the previous progress. A zone's line that differs only in the age of
+// the counts is not written again.
 type plainDisplay struct {
-	out           io.Writer
+	out io.Writer
+	// previousLines holds the lines of the previous progress, without ages.
 	previousLines map[string]bool
 }
 
@@ -308,9 +319,10 @@
 	return nil
 }
 
-// jsonDisplay writes one JSON object per line when the progress changes.
+// jsonDisplay writes the progress as one JSON object per line when something other than the age of the counts changes.
 type jsonDisplay struct {
-	out      io.Writer
+	out io.Writer
+	// previous is the previous progress without ages, formatted.
 	previous string
 }
 
