--- a/ctl/approve.go
+++ b/ctl/approve.go
@@ -128,9 +128,7 @@
 
 // submit stages and approves a bundle. It repeats both steps once if the members no longer have the bundle when the
 // approval arrives: they keep a limited number of staged bundles and drop the oldest.
-func submit(
-	ctx context.Context, api operator.Backend, b builtBundle, approval bundle.Approval,
-) (operator.Decision, error) {
+func submit(ctx context.Context, api operator.Backend, b builtBundle, approval bundle.Approval) (operator.Decision, error) {
 	decision, err := stageAndApprove(ctx, api, b, approval)
 	if errors.Is(err, operator.ErrNotStaged) {
 		return stageAndApprove(ctx, api, b, approval)
