--- a/daemon/check.go
+++ b/daemon/check.go
@@ -24,13 +24,13 @@
 	checkLookups      = 200
 	checkIrreversible = 20
 	checkTimeout      = 20 * time.Second
-	// checkCallers is the number of calls in flight. It is well below the slots of any profile.
-	checkCallers = 8
-	// checkProgress is the number of calls after which the progress is shown.
-	checkProgress = 50
-	checkPause    = 200 * time.Microsecond
-	// stagingTime lets the parts reach the nodes ahead of the sign-off, as an operator's pause between the two does.
-	stagingTime = 200 * time.Millisecond
+	// checkConcurrency is the number of calls in flight. It is well below the slots of any profile.
+	checkConcurrency = 8
+	// checkProgressInterval is the number of calls after which the progress is shown.
+	checkProgressInterval = 50
+	checkPollInterval     = 200 * time.Microsecond
+	// checkStagingDelay lets the parts reach the nodes ahead of the sign-off, as an operator's pause between the two does.
+	checkStagingDelay = 200 * time.Millisecond
 )
 
 // errCheck means that dev --check saw a fault.
@@ -60,14 +60,14 @@
 }
 
 func (d *devDeployment) checkLookups(ctx context.Context, out io.Writer, route bundle.Route) error {
-	err := sideBySide(ctx, out, "lookups", checkLookups, func(ctx context.Context, i int) error {
+	err := callConcurrently(ctx, out, "lookups", checkLookups, func(ctx context.Context, i int) error {
 		node := d.spec.Nodes[i%len(d.spec.Nodes)]
-		answer, err := d.send(ctx, node.ID, route, uuid.NewString(), "")
+		response, err := d.send(ctx, node.ID, route, uuid.NewString(), "")
 		if err != nil {
 			return err
 		}
-		if answer.outcome != protocol.OutcomeDone {
-			return errors.Wrapf(errCheck, "lookup through %s: outcome %q, %s", node.ID, answer.outcome, answer.reason)
+		if response.outcome != protocol.OutcomeDone {
+			return errors.Wrapf(errCheck, "lookup through %s: outcome %q, %s", node.ID, response.outcome, response.reason)
 		}
 		return nil
 	})
@@ -78,20 +78,20 @@
 	return nil
 }
 
-// sideBySide makes calls as callers do, several at a time, and shows its progress. It ends with the first fault.
-func sideBySide(
-	ctx context.Context, out io.Writer, what string, count int, call func(ctx context.Context, i int) error,
+// callConcurrently makes calls as callers do, several at a time, and shows its progress. It ends with the first fault.
+func callConcurrently(
+	ctx context.Context, out io.Writer, callKind string, count int, call func(ctx context.Context, i int) error,
 ) error {
 	var done atomic.Int64
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(checkCallers)
+	group.SetLimit(checkConcurrency)
 	for i := range count {
 		group.Go(func() error {
 			if err := call(ctx, i); err != nil {
 				return err
 			}
-			if made := done.Add(1); made%checkProgress == 0 {
-				fmt.Fprintf(out, "... %d of %d %s\n", made, count, what)
+			if made := done.Add(1); made%checkProgressInterval == 0 {
+				fmt.Fprintf(out, "... %d of %d %s\n", made, count, callKind)
 			}
 			return nil
 		})
@@ -101,24 +101,24 @@
 
 // checkIrreversible sends each request twice through different nodes and compares with what the upstreams ran.
 func (d *devDeployment) checkIrreversible(ctx context.Context, out io.Writer, route bundle.Route) error {
-	err := sideBySide(ctx, out, "irreversible calls", checkIrreversible, func(ctx context.Context, i int) error {
+	err := callConcurrently(ctx, out, "irreversible calls", checkIrreversible, func(ctx context.Context, i int) error {
 		request, key := uuid.NewString(), uuid.Must(uuid.NewV7()).String()
 		var bodies []string
-		for turn := range 2 {
-			node := d.spec.Nodes[(i+5*turn)%len(d.spec.Nodes)]
-			answer, err := d.send(ctx, node.ID, route, request, key)
+		for attempt := range 2 {
+			node := d.spec.Nodes[(i+5*attempt)%len(d.spec.Nodes)]
+			response, err := d.send(ctx, node.ID, route, request, key)
 			if err != nil {
 				return err
 			}
-			if answer.outcome != protocol.OutcomeDone {
-				return errors.Wrapf(errCheck, "irreversible call: outcome %q, %s", answer.outcome, answer.reason)
+			if response.outcome != protocol.OutcomeDone {
+				return errors.Wrapf(errCheck, "irreversible call: outcome %q, %s", response.outcome, response.reason)
 			}
-			bodies = append(bodies, answer.body)
+			bodies = append(bodies, response.body)
 		}
 		if bodies[0] != bodies[1] {
 			return errors.Wrapf(errCheck, "a resend got another answer than the first request")
 		}
-		if runs := d.runs(request); runs != 1 {
+		if runs := d.countRuns(request); runs != 1 {
 			return errors.Wrapf(errCheck, "an irreversible request ran %d times", runs)
 		}
 		return nil
@@ -131,7 +131,7 @@
 	return nil
 }
 
-func (d *devDeployment) runs(request string) int {
+func (d *devDeployment) countRuns(request string) int {
 	count := 0
 	for _, run := range d.truth.Runs() {
 		if run.Request == request {
@@ -160,8 +160,8 @@
 	if verdict, err := d.local.Stage(ctx, leader, signed); err != nil || !verdict.Accepted {
 		return errors.Wrapf(errCheck, "bundle was not staged: %s %v", verdict.Reason, err)
 	}
-	time.Sleep(stagingTime)
-	signedOff := time.Now()
+	time.Sleep(checkStagingDelay)
+	approvedAt := time.Now()
 	verdict, err := d.local.Approve(ctx, leader, signed)
 	if err != nil || !verdict.Accepted {
 		return errors.Wrapf(errCheck, "approval was not accepted: %s %v", verdict.Reason, err)
@@ -172,7 +172,7 @@
 	}
 	total, cross := d.local.ControlBytes()
 	fmt.Fprintf(out, "Approval: version 2 in force on %d proxies %.1f ms after sign-off; %d control bytes, %d across zones, "+
-		"from staging to in force.\n", len(d.spec.Nodes), float64(last.Sub(signedOff).Microseconds())/1000,
+		"from staging to in force.\n", len(d.spec.Nodes), float64(last.Sub(approvedAt).Microseconds())/1000,
 		total-totalBefore, cross-crossBefore)
 	return nil
 }
@@ -192,14 +192,14 @@
 			if ctx.Err() != nil {
 				return last, errors.Wrapf(errCheck, "version %d is not in force on %s", version, node.ID)
 			}
-			time.Sleep(checkPause)
+			time.Sleep(checkPollInterval)
 		}
 	}
 	return last, nil
 }
 
-// checkedAnswer is what a caller saw.
-type checkedAnswer struct {
+// checkResponse is what a caller saw.
+type checkResponse struct {
 	outcome protocol.Outcome
 	reason  string
 	body    string
@@ -207,7 +207,7 @@
 
 func (d *devDeployment) send(
 	ctx context.Context, node string, route bundle.Route, request, key string,
-) (checkedAnswer, error) {
+) (checkResponse, error) {
 	method := http.MethodGet
 	if len(route.Match.Methods) > 0 {
 		method = route.Match.Methods[0]
@@ -215,7 +215,7 @@
 	url := "http://" + d.local.Address(node).HTTP + route.Match.PathPrefix
 	outgoing, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(""))
 	if err != nil {
-		return checkedAnswer{}, err
+		return checkResponse{}, err
 	}
 	outgoing.Host = route.Match.Host
 	for name, value := range route.Match.Headers {
@@ -229,14 +229,14 @@
 	}
 	response, err := http.DefaultClient.Do(outgoing)
 	if err != nil {
-		return checkedAnswer{}, errors.Wrapf(errCheck, "%v", err)
+		return checkResponse{}, errors.Wrapf(errCheck, "%v", err)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return checkedAnswer{}, errors.Wrapf(errCheck, "answer was cut: %v", err)
+		return checkResponse{}, errors.Wrapf(errCheck, "answer was cut: %v", err)
 	}
-	return checkedAnswer{
+	return checkResponse{
 		outcome: protocol.Outcome(response.Header.Get(protocol.HeaderOutcome)),
 		reason:  response.Header.Get(protocol.HeaderReason), body: string(body),
 	}, nil
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -39,7 +39,7 @@
 			})
 		},
 	}
-	registerSettings(command, &file)
+	addSettingsFlag(command, &file)
 	logs.register(command)
 	return command
 }
@@ -71,10 +71,10 @@
 		}
 		defer adapter.Close()
 	}
-	running, cancelRunning := context.WithCancel(ctx)
-	defer cancelRunning()
-	context.AfterFunc(member.Stopped(), cancelRunning)
-	watchSettings(running, file, logger, func() error {
+	runContext, cancelRun := context.WithCancel(ctx)
+	defer cancelRun()
+	context.AfterFunc(member.Stopped(), cancelRun)
+	watchSettings(runContext, file, logger, func() error {
 		changed, err := settings.LoadControl(file)
 		if err == nil {
 			seeds.Store(&changed.Join)
@@ -82,20 +82,20 @@
 		return err
 	})
 	if member.Stopped().Err() != nil {
-		err := memberEnd(member)
+		err := stopReason(member)
 		logger.Error().Err(err).Msg("control member stopped")
 		return err
 	}
 	logger.Info().Msg("control member leaves")
-	stopping, cancel := context.WithTimeout(context.Background(), memberStopTimeout)
+	stopContext, cancel := context.WithTimeout(context.Background(), memberStopTimeout)
 	defer cancel()
-	err = member.Stop(stopping)
+	err = member.Stop(stopContext)
 	logger.Info().Err(err).Msg("control member stopped")
 	return err
 }
 
-// memberEnd explains why a member stopped by itself.
-func memberEnd(member *control.Member) error {
+// stopReason explains why a member stopped by itself.
+func stopReason(member *control.Member) error {
 	select {
 	case <-member.Removed():
 		return control.ErrRemoved
--- a/daemon/dev.go
+++ b/daemon/dev.go
@@ -28,9 +28,9 @@
 	devOperator = "dev"
 	// devStartTimeout bounds the start, with the first version in force on every node.
 	devStartTimeout = 20 * time.Second
-	// devReadyPause is the time between two looks whether all upstreams are known.
-	devReadyPause = 50 * time.Millisecond
-	devStopTime   = 10 * time.Second
+	// devPollInterval is the time between two looks whether all upstreams are known.
+	devPollInterval = 50 * time.Millisecond
+	devStopTimeout  = 10 * time.Second
 )
 
 // devFlags are the flags of dev.
@@ -102,9 +102,9 @@
 	d.printGuide(out)
 	<-ctx.Done()
 	fmt.Fprintln(out, "Stopping; requests in flight finish.")
-	stopping, cancel := context.WithTimeout(context.Background(), devStopTime)
+	stopContext, cancel := context.WithTimeout(context.Background(), devStopTimeout)
 	defer cancel()
-	return d.stop(stopping)
+	return d.stop(stopContext)
 }
 
 // prepare writes the example bundle and an operator's key, and describes the processes.
@@ -194,7 +194,7 @@
 			select {
 			case <-ctx.Done():
 				return errors.New("daemon: upstreams are not known everywhere in time")
-			case <-time.After(devReadyPause):
+			case <-time.After(devPollInterval):
 			}
 		}
 	}
@@ -203,12 +203,12 @@
 
 // printGuide prints addresses and commands that work when pasted.
 func (d *devDeployment) printGuide(out io.Writer) {
-	entry := d.local.Address(d.spec.Nodes[0].ID)
+	firstNode := d.local.Address(d.spec.Nodes[0].ID)
 	lookup, irreversible := d.exampleRoutes()
-	fmt.Fprintf(out, "\nCall a lookup:\n  curl -i http://%s%s\n", entry.HTTP, lookup.Match.PathPrefix)
+	fmt.Fprintf(out, "\nCall a lookup:\n  curl -i http://%s%s\n", firstNode.HTTP, lookup.Match.PathPrefix)
 	fmt.Fprintf(out, "\nCall an irreversible route twice with one key; it runs once:\n"+
 		"  curl -i -X %s -H 'Idempotency-Key: demo-1' -d 'demo' http://%s%s\n",
-		irreversible.Match.Methods[0], entry.HTTP, irreversible.Match.PathPrefix)
+		irreversible.Match.Methods[0], firstNode.HTTP, irreversible.Match.PathPrefix)
 	fmt.Fprintf(out, "\nChange the bundle in %s, then approve it and watch it come into force:\n", d.bundlePath)
 	fmt.Fprintf(out, "  export SAPPHIRECTL_CONTROL=%s SAPPHIRECTL_INSECURE=true SAPPHIRECTL_KEY=%s\n",
 		strings.Join(d.local.AdminAddresses(), ","), d.keyPath)
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -33,7 +33,7 @@
 			})
 		},
 	}
-	registerSettings(command, &file)
+	addSettingsFlag(command, &file)
 	logs.register(command)
 	return command
 }
@@ -84,9 +84,9 @@
 		return err
 	})
 	logger.Info().Msg("node leaves; requests in flight finish")
-	stopping, cancel := context.WithTimeout(context.Background(), loaded.Limits.DrainTimeout.Std())
+	stopContext, cancel := context.WithTimeout(context.Background(), loaded.Limits.DrainTimeout.Std())
 	defer cancel()
-	err = process.Stop(stopping)
+	err = process.Stop(stopContext)
 	logger.Info().Err(err).Msg("node stopped")
 	return err
 }
--- a/daemon/process_test.go
+++ b/daemon/process_test.go
@@ -34,7 +34,7 @@
 	RunSpecs(t, "daemon")
 }
 
-const patience = 30 * time.Second
+const eventTimeout = 30 * time.Second
 
 // authority signs the certificates of a test.
 type authority struct {
@@ -90,7 +90,7 @@
 // can take a port between freeAddress and the start of the process that listens on it.
 var host = fmt.Sprintf("127.%d.%d.1", 10+os.Getpid()%200, 1+os.Getpid()/200%250)
 
-var taken = make(map[string]bool)
+var returnedAddresses = make(map[string]bool)
 
 // freeAddress returns an address that no process listens on and that was not returned before.
 func freeAddress() string {
@@ -99,8 +99,8 @@
 		Expect(err).NotTo(HaveOccurred())
 		address := listener.Addr().String()
 		Expect(listener.Close()).To(Succeed())
-		if !taken[address] {
-			taken[address] = true
+		if !returnedAddresses[address] {
+			returnedAddresses[address] = true
 			return address
 		}
 	}
@@ -156,7 +156,7 @@
 		daemon, ctl := build(folder, "sapphiregate"), build(folder, "sapphirectl")
 		certificates := newAuthority(folder)
 		run := func(arguments ...string) (string, error) {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 			defer cancel()
 			output, err := exec.CommandContext(ctx, ctl, arguments...).CombinedOutput()
 			return string(output), err
@@ -218,7 +218,7 @@
 		approve := func(version string) (string, error) {
 			return run(append([]string{"approve", filepath.Join(folder, "bundle"), "--version", version}, access...)...)
 		}
-		Eventually(func() error { _, err := approve("1"); return err }).WithTimeout(patience).Should(Succeed())
+		Eventually(func() error { _, err := approve("1"); return err }).WithTimeout(eventTimeout).Should(Succeed())
 		output, err = run("status", "--control", strings.Join(admin, ","), "--insecure")
 		Expect(err).To(HaveOccurred(), "operators without a certificate must be refused: "+output)
 
@@ -235,7 +235,7 @@
 			return response.StatusCode, string(bytes.TrimSpace(body))
 		}
 		Eventually(func() string { _, body := promote(0, "first"); return body }).
-			WithTimeout(patience).Should(Equal("promotion 1"))
+			WithTimeout(eventTimeout).Should(Equal("promotion 1"))
 
 		// The answer survives the leader and the node that the caller used.
 		Expect(controls[0].Process.Kill()).To(Succeed())
@@ -246,9 +246,9 @@
 			AddReportEntry("largest resident size of the node in KiB", usage.Maxrss)
 		}
 		Eventually(func() string { _, body := promote(1, "first"); return body }).
-			WithTimeout(patience).Should(Equal("promotion 1"))
+			WithTimeout(eventTimeout).Should(Equal("promotion 1"))
 		Expect(runs.Load()).To(BeEquivalentTo(1))
-		Eventually(func() error { _, err := approve("1"); return err }).WithTimeout(patience).
+		Eventually(func() error { _, err := approve("1"); return err }).WithTimeout(eventTimeout).
 			Should(Succeed(), "a resent approval must get the first answer from the remaining members")
 	})
 })
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -17,14 +17,14 @@
 // without a signal.
 const settingsCheckInterval = 2 * time.Second
 
-// reloads receives SIGHUP. It stays registered until the process ends: without a receiver, the signal would end a process
-// that is starting, or one that is leaving and still has requests in flight.
-var reloads = make(chan os.Signal, 1)
+// reloadSignals receives SIGHUP until the process exits. Without a receiver, the signal would kill a process that is still
+// starting, or one that is shutting down and still has requests in flight.
+var reloadSignals = make(chan os.Signal, 1)
 
-func receiveReloads() { signal.Notify(reloads, syscall.SIGHUP) }
+func registerReloadSignal() { signal.Notify(reloadSignals, syscall.SIGHUP) }
 
-// registerSettings adds the flag that names the settings file.
-func registerSettings(command *cobra.Command, file *string) {
+// addSettingsFlag adds the flag that names the settings file.
+func addSettingsFlag(command *cobra.Command, file *string) {
 	command.Flags().StringVar(file, "settings", os.Getenv(platform.SettingsVariable), "JSON settings file")
 	if os.Getenv(platform.SettingsVariable) == "" {
 		_ = command.MarkFlagRequired("settings")
@@ -36,18 +36,18 @@
 func watchSettings(ctx context.Context, file string, logger zerolog.Logger, reload func() error) {
 	ticker := time.NewTicker(settingsCheckInterval)
 	defer ticker.Stop()
-	last := modified(file)
+	last := modificationTime(file)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-reloads:
+		case <-reloadSignals:
 		case <-ticker.C:
-			if modified(file).Equal(last) {
+			if modificationTime(file).Equal(last) {
 				continue
 			}
 		}
-		last = modified(file)
+		last = modificationTime(file)
 		if err := reload(); err != nil {
 			logger.Error().Err(err).Msg("kept the former settings")
 			continue
@@ -56,7 +56,7 @@
 	}
 }
 
-func modified(file string) time.Time {
+func modificationTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -11,8 +11,8 @@
 )
 
 // Guards against a SIGHUP that ends a process which is leaving: its requests in flight would be cut off.
-func TestReloadSignalWhileLeaving(t *testing.T) {
-	receiveReloads()
+func TestReloadSignalDuringShutdown(t *testing.T) {
+	registerReloadSignal()
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	watchSettings(ended, os.DevNull, zerolog.Nop(), func() error { return nil })
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	select {
-	case <-reloads:
+	case <-reloadSignals:
 	case <-time.After(10 * time.Second):
 		t.Fatal("the signal was not received")
 	}
--- a/daemon/root.go
+++ b/daemon/root.go
@@ -48,16 +48,16 @@
 	}
 	logging.ReportViolations(logger)
 	err = command(logger)
-	if unwritten := output.Close(); unwritten != nil {
+	if closeErr := output.Close(); closeErr != nil {
 		// A log that nobody reads does not make a planned stop a failure.
-		fmt.Fprintln(os.Stderr, "sapphiregate:", unwritten)
+		fmt.Fprintln(os.Stderr, "sapphiregate:", closeErr)
 	}
 	return err
 }
 
 // Main runs the command line and returns the exit code.
 func Main(arguments []string) int {
-	receiveReloads()
+	registerReloadSignal()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := newRoot()
