--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -122,8 +122,8 @@
 	return operator.DumpResponse{Member: "m1", State: json.RawMessage(`{"term":3}`)}, nil
 }
 
-// zoneStatus returns the counts of a zone with 4 proxies, of which some have version 2 in force and the others version 1.
-// The age of the counts is in milliseconds.
+// zoneStatus returns the counts of a zone with 4 proxies, of which some have version 2 in force and the others version
+// 1. The age of the counts is in milliseconds.
 func zoneStatus(inForce int, age int64) operator.ZoneStatus {
 	z := operator.ZoneStatus{Zone: "luzon-a", Proxies: 4, LowestVersion: 1, AgeMs: age,
 		Versions: []operator.VersionCount{{Version: 2, Proxies: inForce}, {Version: 1, Proxies: 4 - inForce}}}
--- a/ctl/root.go
+++ b/ctl/root.go
@@ -29,8 +29,8 @@
 	EnvInsecure = "SAPPHIRECTL_INSECURE"
 )
 
-// defaultTimeout limits a command that does not wait for a rollout or a membership change. It is long enough for several
-// leader elections of the control members.
+// defaultTimeout limits a command that does not wait for a rollout or a membership change. It is long enough for
+// several leader elections of the control members.
 const defaultTimeout = 30 * time.Second
 
 // The output formats.
--- a/ctl/trace.go
+++ b/ctl/trace.go
@@ -98,8 +98,8 @@
 	return errors.Wrapf(t.read(file), "read %s", name)
 }
 
-// read adds the lines about the request. It skips the text that log collectors put before the JSON object of a line, and
-// lines without a JSON object.
+// read adds the lines about the request. It skips the text that log collectors put before the JSON object of a line,
+// and lines without a JSON object.
 func (t *requestTrace) read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLogLine)
@@ -122,8 +122,8 @@
 
 // sortByCause sorts the lines in causal order and sets Cause. Times of different instances cannot be compared, as their
 // clocks differ. The node that received the request from the caller logs the instances in the order in which it tried
-// them: the lines of each instance come in that order, each followed by the line about the failed attempt, and the final
-// line of the receiving node comes last.
+// them: the lines of each instance come in that order, each followed by the line about the failed attempt, and the
+// final line of the receiving node comes last.
 func (t *requestTrace) sortByCause() {
 	var tried []string
 	for _, line := range t.Lines {
--- a/ctl/watch.go
+++ b/ctl/watch.go
@@ -30,8 +30,8 @@
 	Version uint64         `json:"version"`
 	State   string         `json:"state"`
 	Zones   []zoneProgress `json:"zones"`
-	// Note says why State is not "in-force" although all counted proxies may have the version, that no status is available,
-	// or that a later version supersedes this one.
+	// Note says why State is not "in-force" although all counted proxies may have the version, that no status is
+	// available, or that a later version supersedes this one.
 	Note string `json:"note,omitempty"`
 }
 
@@ -52,8 +52,8 @@
 	stateStopped    = "stopped"
 )
 
-// progressOf returns the progress of a version according to a status. The version is in force only if at least one proxy
-// is counted, every counted proxy has the version or a later one, and all counts are fresh.
+// progressOf returns the progress of a version according to a status. The version is in force only if at least one
+// proxy is counted, every counted proxy has the version or a later one, and all counts are fresh.
 func progressOf(status operator.Status, version uint64) progress {
 	p := progress{Version: version, State: stateInProgress, Zones: []zoneProgress{}}
 	if status.Latest == nil || status.Latest.Version < version {
@@ -178,8 +178,8 @@
 	}
 }
 
-// isPermanent reports whether another status request would fail the same way. The errors listed here are temporary, such
-// as unreachable members or a lost quorum.
+// isPermanent reports whether another status request would fail the same way. The errors listed here are temporary,
+// such as unreachable members or a lost quorum.
 func isPermanent(err error) bool {
 	return !errors.IsAny(err, operator.ErrUnreachable, operator.ErrNoQuorum, operator.ErrNotLeader,
 		operator.ErrInternal, operator.ErrOutcomeUnknown)
