--- a/daemon/check.go
+++ b/daemon/check.go
@@ -20,23 +20,27 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
+// Limits of dev --check.
 const (
 	checkLookups      = 200
 	checkIrreversible = 20
 	checkTimeout      = 20 * time.Second
-	// checkConcurrency is the number of calls in flight. It is well below the slots of any profile.
+	// checkConcurrency is the number of calls in flight. It is well below the number of slots in every profile, so that no
+	// call is refused for lack of slots.
 	checkConcurrency = 8
-	// checkProgressInterval is the number of calls after which the progress is shown.
+	// checkProgressInterval is the number of calls between two lines about the progress.
 	checkProgressInterval = 50
 	checkPollInterval     = 200 * time.Microsecond
-	// checkStagingDelay lets the parts reach the nodes ahead of the sign-off, as an operator's pause between the two does.
+	// checkStagingDelay is the time between staging and approval, in which the nodes receive the parts of the bundle. An
+	// operator leaves some time between the two as well.
 	checkStagingDelay = 200 * time.Millisecond
 )
 
-// errCheck means that dev --check saw a fault.
+// errCheck means that dev --check found a fault.
 var errCheck = errors.New("daemon: check failed")
 
-// check drives calls and one approval, prints what it saw, and fails on any fault.
+// check sends calls, approves one version and prints the results. It returns errCheck if a call, the approval or an
+// invariant fails.
 func (d *devDeployment) check(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
@@ -59,6 +63,7 @@
 	return nil
 }
 
+// checkLookups sends lookups through all nodes in turn; every one has to succeed.
 func (d *devDeployment) checkLookups(ctx context.Context, out io.Writer, route bundle.Route) error {
 	err := callConcurrently(ctx, out, "lookups", checkLookups, func(ctx context.Context, i int) error {
 		node := d.spec.Nodes[i%len(d.spec.Nodes)]
@@ -74,11 +79,12 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "Lookups: %d of %d got their whole answer.\n", checkLookups, checkLookups)
+	fmt.Fprintf(out, "Lookups: %d of %d got a complete response.\n", checkLookups, checkLookups)
 	return nil
 }
 
-// callConcurrently makes calls as callers do, several at a time, and shows its progress. It ends with the first fault.
+// callConcurrently runs call for 0 to count-1, at most checkConcurrency at a time, and prints the progress. It returns
+// the first error.
 func callConcurrently(
 	ctx context.Context, out io.Writer, callKind string, count int, call func(ctx context.Context, i int) error,
 ) error {
@@ -99,7 +105,8 @@
 	return group.Wait()
 }
 
-// checkIrreversible sends each request twice through different nodes and compares with what the upstreams ran.
+// checkIrreversible sends each request twice with the same key through different nodes. Both have to get the same
+// response, and the upstreams have to run the request once.
 func (d *devDeployment) checkIrreversible(ctx context.Context, out io.Writer, route bundle.Route) error {
 	err := callConcurrently(ctx, out, "irreversible calls", checkIrreversible, func(ctx context.Context, i int) error {
 		request, key := uuid.NewString(), uuid.Must(uuid.NewV7()).String()
@@ -116,7 +123,7 @@
 			bodies = append(bodies, response.body)
 		}
 		if bodies[0] != bodies[1] {
-			return errors.Wrapf(errCheck, "a resend got another answer than the first request")
+			return errors.Wrapf(errCheck, "a resent request got another response than the first one")
 		}
 		if runs := d.countRuns(request); runs != 1 {
 			return errors.Wrapf(errCheck, "an irreversible request ran %d times", runs)
@@ -126,11 +133,12 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "Irreversible calls: %d sent twice each, every one ran once and both got the same answer.\n",
+	fmt.Fprintf(out, "Irreversible calls: %d sent twice each; each ran once and both requests got the same response.\n",
 		checkIrreversible)
 	return nil
 }
 
+// countRuns returns how often the upstreams ran a request.
 func (d *devDeployment) countRuns(request string) int {
 	count := 0
 	for _, run := range d.truth.Runs() {
@@ -141,7 +149,7 @@
 	return count
 }
 
-// checkApproval approves a second version and measures when it is in force everywhere.
+// checkApproval approves a second version and measures the time until it is in force on every node.
 func (d *devDeployment) checkApproval(ctx context.Context, out io.Writer) error {
 	changed, err := bundle.Load(d.bundlePath)
 	if err != nil {
@@ -171,13 +179,14 @@
 		return err
 	}
 	total, cross := d.local.ControlBytes()
-	fmt.Fprintf(out, "Approval: version 2 in force on %d proxies %.1f ms after sign-off; %d control bytes, %d across zones, "+
-		"from staging to in force.\n", len(d.spec.Nodes), float64(last.Sub(approvedAt).Microseconds())/1000,
+	fmt.Fprintf(out, "Approval: version 2 in force on %d proxies %.1f ms after the approval; %d control bytes, %d across "+
+		"zones, from staging until then.\n", len(d.spec.Nodes), float64(last.Sub(approvedAt).Microseconds())/1000,
 		total-totalBefore, cross-crossBefore)
 	return nil
 }
 
-// waitVersion returns the time of the last pointer swap.
+// waitVersion waits until a version or a later one is in force on every node and returns the time at which the last
+// node put it into force.
 func (d *devDeployment) waitVersion(ctx context.Context, version uint64) (time.Time, error) {
 	var last time.Time
 	for _, node := range d.spec.Nodes {
@@ -198,13 +207,14 @@
 	return last, nil
 }
 
-// checkResponse is what a caller saw.
+// checkResponse holds the parts of a response that the checks compare.
 type checkResponse struct {
 	outcome protocol.Outcome
 	reason  string
 	body    string
 }
 
+// send calls a route through a node. The key is the idempotency key; it is empty for classes that need none.
 func (d *devDeployment) send(
 	ctx context.Context, node string, route bundle.Route, request, key string,
 ) (checkResponse, error) {
@@ -234,7 +244,7 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return checkResponse{}, errors.Wrapf(errCheck, "answer was cut: %v", err)
+		return checkResponse{}, errors.Wrapf(errCheck, "response ended early: %v", err)
 	}
 	return checkResponse{
 		outcome: protocol.Outcome(response.Header.Get(protocol.HeaderOutcome)),
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -19,7 +19,7 @@
 	"sapphiregate.example/sapphiregate/state/ledger"
 )
 
-// memberStopTimeout bounds a planned stop of a control member, with the hand-over of the leadership.
+// memberStopTimeout limits a planned stop of a control member, including the transfer of its leadership.
 const memberStopTimeout = 5 * time.Second
 
 func newControlCommand() *cobra.Command {
@@ -44,6 +44,7 @@
 	return command
 }
 
+// runControl runs a control member until the context ends or the member stops by itself, which is an error.
 func runControl(ctx context.Context, file string, loaded settings.Control, logger zerolog.Logger) error {
 	options, err := controlOptions(loaded, logger)
 	if err != nil {
@@ -94,16 +95,17 @@
 	return err
 }
 
-// stopReason explains why a member stopped by itself.
+// stopReason returns the error for a member that stopped without being told to.
 func stopReason(member *control.Member) error {
 	select {
 	case <-member.Removed():
 		return control.ErrRemoved
 	default:
-		return errors.New("daemon: the control member stopped by itself; see the log")
+		return errors.New("daemon: the control member stopped because of a failure; see its log")
 	}
 }
 
+// controlOptions reads the files that the settings name and returns the options of the member.
 func controlOptions(loaded settings.Control, logger zerolog.Logger) (control.Options, error) {
 	keys, err := loadKeyring(loaded.Keyring, loaded.TrustedOperators)
 	if err != nil {
--- a/daemon/dev.go
+++ b/daemon/dev.go
@@ -24,13 +24,14 @@
 )
 
 const (
-	// devOperator signs the bundles of a dev deployment.
+	// devOperator is the operator that signs the bundles of a dev deployment.
 	devOperator = "dev"
-	// devStartTimeout bounds the start, with the first version in force on every node.
+	// devStartTimeout limits the start, until the first version is in force and every node knows all upstreams.
 	devStartTimeout = 20 * time.Second
-	// devPollInterval is the time between two looks whether all upstreams are known.
+	// devPollInterval is the time between two checks whether a node knows all upstreams.
 	devPollInterval = 50 * time.Millisecond
-	devStopTimeout  = 10 * time.Second
+	// devStopTimeout limits a graceful stop of all processes.
+	devStopTimeout = 10 * time.Second
 )
 
 // devFlags are the flags of dev.
@@ -55,7 +56,7 @@
 		},
 	}
 	command.Flags().StringVar(&flags.profile, "profile", "kalasag", "the deployment to emulate: kalasag or kartuli")
-	command.Flags().BoolVar(&flags.check, "check", false, "drive calls and one approval, print what was seen, and exit")
+	command.Flags().BoolVar(&flags.check, "check", false, "send calls, approve one version, print the results and exit")
 	flags.logs.register(command)
 	command.Flags().Lookup("log-level").DefValue = "warn"
 	flags.logs.level = "warn"
@@ -63,7 +64,7 @@
 	return command
 }
 
-// devDeployment is a running dev deployment.
+// devDeployment is the deployment that the dev command runs, with its files in a temporary folder.
 type devDeployment struct {
 	profile    experiment.Profile
 	folder     string
@@ -107,7 +108,7 @@
 	return d.stop(stopContext)
 }
 
-// prepare writes the example bundle and an operator's key, and describes the processes.
+// prepare writes the example bundle and an operator's key, and creates the deployment without starting it.
 func (d *devDeployment) prepare(options local.Options) error {
 	d.bundlePath = filepath.Join(d.folder, "bundle")
 	if err := os.CopyFS(d.folder, examples.Bundles); err != nil {
@@ -143,6 +144,7 @@
 	return err
 }
 
+// writeKey generates the operator's key, writes it to the folder and returns it.
 func (d *devDeployment) writeKey() (ed25519.PrivateKey, error) {
 	d.keyPath = filepath.Join(d.folder, "operator.key")
 	key, err := bundle.GenerateKey(devOperator, rand.Reader)
@@ -152,7 +154,7 @@
 	return key.Key, key.Save(d.keyPath)
 }
 
-// devNodes puts a node beside each worker of the bundle's services, spread over the zones.
+// devNodes returns one node for each worker of the bundle's services, spread over the zones.
 func devNodes(profile experiment.Profile, b *bundle.Bundle) []experiment.NodeSpec {
 	var nodes []experiment.NodeSpec
 	for s, service := range b.Services {
@@ -167,6 +169,7 @@
 	return nodes
 }
 
+// start starts the members and the nodes, then a stand-in upstream beside each node.
 func (d *devDeployment) start(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, devStartTimeout)
 	defer cancel()
@@ -193,7 +196,7 @@
 		for d.local.KnownUpstreams(node.ID) < len(d.upstreams) {
 			select {
 			case <-ctx.Done():
-				return errors.New("daemon: upstreams are not known everywhere in time")
+				return errors.New("daemon: timeout before every node knew all upstreams")
 			case <-time.After(devPollInterval):
 			}
 		}
@@ -201,7 +204,7 @@
 	return nil
 }
 
-// printGuide prints addresses and commands that work when pasted.
+// printGuide prints the addresses of the nodes, and commands that can be pasted into a shell.
 func (d *devDeployment) printGuide(out io.Writer) {
 	firstNode := d.local.Address(d.spec.Nodes[0].ID)
 	lookup, irreversible := d.exampleRoutes()
@@ -222,6 +225,7 @@
 	fmt.Fprintf(out, "\nStop with Ctrl-C.\n")
 }
 
+// exampleRoutes returns the first lookup route and the first irreversible route of the example bundle.
 func (d *devDeployment) exampleRoutes() (lookup, irreversible bundle.Route) {
 	for _, route := range d.spec.Initial.Bundle.Routes {
 		switch {
@@ -234,7 +238,7 @@
 	return lookup, irreversible
 }
 
-// stop leaves gracefully: upstreams drain, then nodes, then members.
+// stop drains the upstreams, then stops the nodes and then the members gracefully. It returns the errors of all.
 func (d *devDeployment) stop(ctx context.Context) error {
 	var all error
 	for _, upstream := range d.upstreams {
@@ -249,6 +253,7 @@
 	return all
 }
 
+// close releases what is still running, without a graceful stop.
 func (d *devDeployment) close() {
 	for _, upstream := range d.upstreams {
 		upstream.Close()
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -21,7 +21,7 @@
 	var logs logFlags
 	command := &cobra.Command{
 		Use:   "node --settings FILE",
-		Short: "Run the node beside an upstream",
+		Short: "Run a node, the proxy beside an upstream",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			loaded, err := settings.LoadNode(file)
@@ -38,6 +38,7 @@
 	return command
 }
 
+// runNode runs a node until the context ends, then stops it gracefully.
 func runNode(ctx context.Context, file string, loaded settings.Node, logger zerolog.Logger) error {
 	keys, err := loadKeyring(loaded.Keyring, loaded.TrustedOperators)
 	if err != nil {
@@ -102,7 +103,8 @@
 	return limits
 }
 
-// loadKeyring reads the operators' keys. The file may be missing from settings that trust operators without a key.
+// loadKeyring reads the public keys of the operators. The trusted operators are accepted without a signature; if there
+// are any, the file name may be empty.
 func loadKeyring(file string, trusted []string) (*bundle.Keyring, error) {
 	keys := bundle.NewKeyring(nil)
 	if file != "" {
@@ -122,7 +124,7 @@
 	}
 }
 
-// loadIdentity returns nil if TLS is switched off.
+// loadIdentity reads the certificates and the key of the process. It returns nil if the settings switch TLS off.
 func loadIdentity(t settings.TLS) (*rpc.Identity, error) {
 	if t.Insecure {
 		return nil, nil
@@ -131,6 +133,7 @@
 	return identity, errors.Mark(err, errUsage)
 }
 
+// zoneDelays returns a function that gives the delay to a zone from the settings.
 func zoneDelays(loaded settings.Node) func(zone string) time.Duration {
 	return func(zone string) time.Duration {
 		if delay, listed := loaded.ZoneDelays[zone]; listed {
@@ -140,7 +143,7 @@
 	}
 }
 
-// openListeners opens all addresses or none.
+// openListeners listens on all addresses. If one of them fails, it closes the listeners that it has opened.
 func openListeners(addresses ...string) ([]net.Listener, error) {
 	var listeners []net.Listener
 	for _, address := range addresses {
--- a/daemon/process_test.go
+++ b/daemon/process_test.go
@@ -36,7 +36,7 @@
 
 const eventTimeout = 30 * time.Second
 
-// authority signs the certificates of a test.
+// authority is a certificate authority that writes its files to a folder.
 type authority struct {
 	folder      string
 	certificate *x509.Certificate
@@ -59,7 +59,7 @@
 	return &authority{folder: folder, certificate: certificate, key: key}
 }
 
-// issue writes the certificate and key of one process.
+// issue writes a certificate and its key for one process, and returns the TLS settings that name the files.
 func (a *authority) issue(name string) map[string]string {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
@@ -86,8 +86,8 @@
 	Expect(os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600)).To(Succeed())
 }
 
-// host is where the processes of this test listen. Outgoing connections on loopback come from 127.0.0.1, so none of them
-// can take a port between freeAddress and the start of the process that listens on it.
+// host is the loopback address on which the processes of this test listen. Outgoing connections on loopback come from
+// 127.0.0.1, so none of them can take a port of host between freeAddress and the start of the process that uses it.
 var host = fmt.Sprintf("127.%d.%d.1", 10+os.Getpid()%200, 1+os.Getpid()/200%250)
 
 var returnedAddresses = make(map[string]bool)
@@ -106,7 +106,7 @@
 	}
 }
 
-// build compiles a command of this module.
+// build compiles a command of this module into a folder and returns the path of the binary.
 func build(folder, name string) string {
 	binary := filepath.Join(folder, name)
 	output, err := exec.Command("go", "build", "-o", binary, "sapphiregate.example/sapphiregate/cmd/"+name).CombinedOutput()
@@ -114,13 +114,13 @@
 	return binary
 }
 
-// process is a running command. Its output may be read once it has ended.
+// process is a command that was started. Its output may be read only after Wait has returned.
 type process struct {
 	*exec.Cmd
 	output bytes.Buffer
 }
 
-// start runs a process until the end of the test.
+// start starts a process, which is killed at the end of the test if it still runs.
 func start(binary string, arguments ...string) *process {
 	command := &process{Cmd: exec.Command(binary, arguments...)}
 	command.Stdout, command.Stderr = io.MultiWriter(GinkgoWriter, &command.output), GinkgoWriter
@@ -149,8 +149,9 @@
 }`
 
 var _ = Describe("Processes", func() {
-	// Guards the whole path between processes that share nothing: settings files, mutual TLS, the founding of the
-	// group, sign-off by the command line, and calls through the node; a control process and a node die on the way.
+	// Guards against faults that appear only between separate processes: in settings files, mutual TLS, the creation of
+	// the group, an approval by sapphirectl and calls through nodes. A control member is killed and a node stopped
+	// between the first request and its resend.
 	It("bring a signed bundle into force and run an irreversible call once", func() {
 		folder := GinkgoT().TempDir()
 		daemon, ctl := build(folder, "sapphiregate"), build(folder, "sapphirectl")
@@ -237,18 +238,18 @@
 		Eventually(func() string { _, body := promote(0, "first"); return body }).
 			WithTimeout(eventTimeout).Should(Equal("promotion 1"))
 
-		// The answer survives the leader and the node that the caller used.
+		// A resend through another node must get the first response although a control member and the first node are gone.
 		Expect(controls[0].Process.Kill()).To(Succeed())
 		Expect(nodes[0].Process.Signal(syscall.SIGTERM)).To(Succeed())
 		Expect(nodes[0].Wait()).To(Succeed(), "a planned stop must exit with 0")
 		Expect(nodes[0].output.String()).To(ContainSubstring(`"node stopped"`), "the last line of a process must not be lost")
 		if usage, ok := nodes[0].ProcessState.SysUsage().(*syscall.Rusage); ok {
-			AddReportEntry("largest resident size of the node in KiB", usage.Maxrss)
+			AddReportEntry("maximum resident set size of the node in KiB", usage.Maxrss)
 		}
 		Eventually(func() string { _, body := promote(1, "first"); return body }).
 			WithTimeout(eventTimeout).Should(Equal("promotion 1"))
 		Expect(runs.Load()).To(BeEquivalentTo(1))
 		Eventually(func() error { _, err := approve("1"); return err }).WithTimeout(eventTimeout).
-			Should(Succeed(), "a resent approval must get the first answer from the remaining members")
+			Should(Succeed(), "a resent approval must get the first result from the remaining members")
 	})
 })
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -13,17 +13,17 @@
 	"sapphiregate.example/sapphiregate/platform"
 )
 
-// settingsCheckInterval is the time between two looks whether the settings file has changed, since a change may come
-// without a signal.
+// settingsCheckInterval is the time between two checks of the settings file's modification time, which find changes
+// that come without a SIGHUP.
 const settingsCheckInterval = 2 * time.Second
 
-// reloadSignals receives SIGHUP until the process exits. Without a receiver, the signal would kill a process that is still
-// starting, or one that is shutting down and still has requests in flight.
+// reloadSignals receives SIGHUP until the process exits. Without a receiver, the signal would kill a process that is
+// still starting, or one that is shutting down and still has requests in flight.
 var reloadSignals = make(chan os.Signal, 1)
 
 func registerReloadSignal() { signal.Notify(reloadSignals, syscall.SIGHUP) }
 
-// addSettingsFlag adds the flag that names the settings file.
+// addSettingsFlag adds the --settings flag, which is required unless the environment names the file.
 func addSettingsFlag(command *cobra.Command, file *string) {
 	command.Flags().StringVar(file, "settings", os.Getenv(platform.SettingsVariable), "JSON settings file")
 	if os.Getenv(platform.SettingsVariable) == "" {
@@ -31,8 +31,8 @@
 	}
 }
 
-// watchSettings applies changes of the settings file until the context ends. A file that cannot be used is reported and
-// changes nothing.
+// watchSettings calls reload after a SIGHUP and after each change of the settings file, and returns when the context
+// ends. An error of reload is logged; the process then keeps the settings that it has.
 func watchSettings(ctx context.Context, file string, logger zerolog.Logger, reload func() error) {
 	ticker := time.NewTicker(settingsCheckInterval)
 	defer ticker.Stop()
@@ -49,13 +49,14 @@
 		}
 		last = modificationTime(file)
 		if err := reload(); err != nil {
-			logger.Error().Err(err).Msg("kept the former settings")
+			logger.Error().Err(err).Msg("settings not reloaded; the process keeps the settings it has")
 			continue
 		}
 		logger.Info().Str("file", file).Msg("settings reloaded")
 	}
 }
 
+// modificationTime returns the zero time if the file cannot be read.
 func modificationTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -10,7 +10,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Guards against a SIGHUP that ends a process which is leaving: its requests in flight would be cut off.
+// Guards against a SIGHUP that kills a process during its graceful shutdown and so cuts off the requests in flight.
+// SIGHUP kills a process that has no receiver for it, so the receiver must stay after watchSettings has returned.
 func TestReloadSignalDuringShutdown(t *testing.T) {
 	registerReloadSignal()
 	ended, cancel := context.WithCancel(context.Background())
@@ -22,6 +23,6 @@
 	select {
 	case <-reloadSignals:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the signal was not received")
+		t.Fatal("SIGHUP was not received after watchSettings returned")
 	}
 }
--- a/daemon/root.go
+++ b/daemon/root.go
@@ -1,4 +1,5 @@
-// Package daemon is the command tree of sapphiregate.
+// Package daemon implements the commands of sapphiregate: running a node or a control member, running a whole
+// deployment in one process for development, and checking settings files.
 package daemon
 
 import (
@@ -18,13 +19,13 @@
 // Exit codes.
 const (
 	exitOK = 0
-	// exitFailure: the command failed, or dev --check saw a fault.
+	// exitFailure means that the command failed, or that dev --check found a fault.
 	exitFailure = 1
-	// exitUsage: the arguments or settings are at fault; nothing was started.
+	// exitUsage means that arguments or settings are wrong.
 	exitUsage = 2
 )
 
-// errUsage marks faults of arguments and settings.
+// errUsage marks errors in arguments and settings.
 var errUsage = errors.New("daemon: invalid arguments or settings")
 
 // logFlags are the flags that every long-running command has.
@@ -38,8 +39,8 @@
 	command.Flags().StringVar(&f.level, "log-level", "info", "lowest level that is logged: debug, info, warn or error")
 }
 
-// run calls a command with the logger of the process, which also reports violated invariants. It returns once the lines
-// that the command logged are written.
+// run calls a command with the logger of the process, which also logs violated invariants. It returns after the log
+// lines of the command are written.
 func (f *logFlags) run(command func(logger zerolog.Logger) error) error {
 	output := logging.NonBlocking(os.Stdout)
 	logger, err := logging.New(output, f.format, f.level)
@@ -49,13 +50,14 @@
 	logging.ReportViolations(logger)
 	err = command(logger)
 	if closeErr := output.Close(); closeErr != nil {
-		// A log that nobody reads does not make a planned stop a failure.
+		// Only printed: a planned stop succeeds even if nobody reads the log.
 		fmt.Fprintln(os.Stderr, "sapphiregate:", closeErr)
 	}
 	return err
 }
 
-// Main runs the command line and returns the exit code.
+// Main runs the command that the arguments name and returns the exit code of the process. SIGINT and SIGTERM stop the
+// command gracefully; SIGHUP reloads the settings.
 func Main(arguments []string) int {
 	registerReloadSignal()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -38,6 +38,7 @@
 	return command
 }
 
+// checkSettings returns the errors in the settings file of a node or a control member.
 func checkSettings(role, file string) error {
 	var err error
 	switch role {
@@ -46,7 +47,7 @@
 	case "control":
 		_, err = settings.LoadControl(file)
 	default:
-		err = errors.Newf("daemon: role %q is not node or control", role)
+		err = errors.Newf("daemon: role %q: allowed: node, control", role)
 	}
 	return err
 }
