--- a/cmd/sapphirectl/main.go
+++ b/cmd/sapphirectl/main.go
@@ -1,4 +1,5 @@
-// Command sapphirectl is the operators' tool of sapphiregate.
+// Command sapphirectl is the operators' command line tool for a sapphiregate mesh. It also runs experiments and the
+// soak test.
 package main
 
 import (
--- a/cmd/sapphiregate/main.go
+++ b/cmd/sapphiregate/main.go
@@ -1,4 +1,5 @@
-// Command sapphiregate is the daemon: a node beside an upstream, or a control member.
+// Command sapphiregate is the daemon, which runs a node beside an upstream or a control member. It can also run a whole
+// deployment in one process for development, and check settings files.
 package main
 
 import (
