--- a/ctl/trace.go
+++ b/ctl/trace.go
@@ -24,7 +24,9 @@
 // ErrNotLogged reports that no line of the given logs has the request's identifier.
 var ErrNotLogged = errors.New("the request is not in the logs")
 
-// logLine is a log line about a request. Fields that the line does not have are zero.
+// logLine is a log line about a request. Fields that the line does not have are zero. The line is from the request's
+// ingress, which is the node that received it from the caller, or from an executor, which is a node that the ingress
+// called and that passes the call to the upstream beside it.
 type logLine struct {
 	Instance       string           `json:"instance,omitempty"`
 	Time           time.Time        `json:"time"`
@@ -35,29 +37,39 @@
 	Outcome        protocol.Outcome `json:"outcome,omitempty"`
 	Reason         protocol.Reason  `json:"reason,omitempty"`
 	UpstreamStatus int              `json:"upstream_status,omitempty"`
-	Tried          []string         `json:"tried,omitempty"`
-	TriedInstance  string           `json:"tried_instance,omitempty"`
-	TookMs         int64            `json:"took_ms,omitempty"`
-	WaitedMs       int64            `json:"waited_ms,omitempty"`
-	UpstreamMs     int64            `json:"upstream_ms,omitempty"`
-	GivenMs        int64            `json:"given_ms,omitempty"`
-	LeftMs         int64            `json:"left_ms,omitempty"`
-	PauseMs        int64            `json:"pause_ms,omitempty"`
-	PatienceMs     int64            `json:"patience_ms,omitempty"`
-	Version        uint64           `json:"version,omitempty"`
-	VersionAgeMs   int64            `json:"version_age_ms,omitempty"`
-	Slots          int              `json:"slots,omitempty"`
-	Running        int              `json:"running,omitempty"`
-	Waiting        int              `json:"waiting,omitempty"`
-	LinesDropped   int              `json:"lines_dropped,omitempty"`
+	// Tried lists the instances that the ingress called, in order. TriedInstance is the one whose attempt failed.
+	Tried         []string `json:"tried,omitempty"`
+	TriedInstance string   `json:"tried_instance,omitempty"`
+	// TookMs is the time from the request's arrival at the ingress to its end.
+	TookMs int64 `json:"took_ms,omitempty"`
+	// WaitedMs is the time that the call waited for a slot, UpstreamMs the time that the upstream took.
+	WaitedMs   int64 `json:"waited_ms,omitempty"`
+	UpstreamMs int64 `json:"upstream_ms,omitempty"`
+	// GivenMs is the time until the deadline that the ingress gave the call, LeftMs the time that was left at the ingress.
+	GivenMs int64 `json:"given_ms,omitempty"`
+	LeftMs  int64 `json:"left_ms,omitempty"`
+	// PauseMs is the delay before the next attempt.
+	PauseMs int64 `json:"pause_ms,omitempty"`
+	// PatienceMs is the time that was left of the route's target latency when the ingress sent the call.
+	PatienceMs int64 `json:"patience_ms,omitempty"`
+	// Version is the version of the configuration, VersionAgeMs the time that it had been in force.
+	Version      uint64 `json:"version,omitempty"`
+	VersionAgeMs int64  `json:"version_age_ms,omitempty"`
+	// Slots, Running and Waiting are the upstream's slots, its calls in flight and the calls that waited for a slot.
+	Slots   int `json:"slots,omitempty"`
+	Running int `json:"running,omitempty"`
+	Waiting int `json:"waiting,omitempty"`
+	// LinesDropped is the number of lines about requests that the node did not write before this one.
+	LinesDropped int `json:"lines_dropped,omitempty"`
 }
 
 // requestTrace is the path of one request through the processes, taken from their logs.
 type requestTrace struct {
+	// Request is the identifier of the request, or its idempotency key if it has no identifier.
 	Request string    `json:"request"`
 	Lines   []logLine `json:"lines"`
-	// Dropped is the number of lines about any request that the processes did not write, because they limit the rate of
-	// such lines. If it is not 0, lines of this request may be missing.
+	// Dropped is the number of lines about any request that the nodes did not write, because they limit the rate of such
+	// lines. If it is not 0, lines of this request may be missing.
 	Dropped int `json:"lines_dropped"`
 	// Cause explains the reason in the last line.
 	Cause string `json:"cause,omitempty"`
@@ -121,9 +133,8 @@
 }
 
 // sortByCause sorts the lines in causal order and sets Cause. Times of different instances cannot be compared, as their
-// clocks differ. The node that received the request from the caller logs the instances in the order in which it tried
-// them: the lines of each instance come in that order, each followed by the line about the failed attempt, and the
-// final line of the receiving node comes last.
+// clocks differ. The ingress logs the instances in the order in which it tried them: the lines of each instance come in
+// that order, each followed by the ingress's line about the failed attempt, and the ingress's final line comes last.
 func (t *requestTrace) sortByCause() {
 	var tried []string
 	for _, line := range t.Lines {
@@ -153,13 +164,13 @@
 	t.Cause = reasonExplanations[t.Lines[len(t.Lines)-1].Reason]
 }
 
-// isFinal reports whether the line is the last one about the request from the node that received it from the caller.
+// isFinal reports whether the line is the last one of the ingress.
 func (l *logLine) isFinal() bool {
 	return l.Message == logging.RequestFailed || l.Message == logging.RequestAnswered || l.Message == logging.RequestRefused
 }
 
-// triedSuffix names the instance whose attempt failed, for a line of the node that called it. It is empty for other
-// lines.
+// triedSuffix names the instance whose attempt failed, for a line of the ingress about that attempt. It is empty for
+// other lines.
 func (l *logLine) triedSuffix() string {
 	if l.TriedInstance == "" {
 		return ""
@@ -167,6 +178,8 @@
 	return " (tried " + l.TriedInstance + ")"
 }
 
+// print writes a table with one row per line. TOOK and LEFT are the total and the remaining time in lines of the
+// ingress, and the upstream's time and the time given to the call in lines of executors.
 func (t *requestTrace) print(w io.Writer) {
 	fmt.Fprintln(w, "STEP\tINSTANCE\tWHAT\tREASON\tSTATUS\tTOOK\tWAITED\tLEFT\tSLOTS\tVERSION")
 	for i, line := range t.Lines {
--- a/ctl/watch.go
+++ b/ctl/watch.go
@@ -35,12 +35,15 @@
 	Note string `json:"note,omitempty"`
 }
 
-// zoneProgress counts the proxies of one zone that have the version or a later one in force.
+// zoneProgress counts the proxies of one zone, and those of them that have the version or a later one in force.
 type zoneProgress struct {
-	Zone    string                  `json:"zone"`
-	InForce int                     `json:"in_force"`
-	Proxies int                     `json:"proxies"`
-	AgeMs   int64                   `json:"age_ms"`
+	Zone    string `json:"zone"`
+	InForce int    `json:"in_force"`
+	Proxies int    `json:"proxies"`
+	// AgeMs is the age of the counts in milliseconds, or operator.AgeUnknown if none have arrived. The text output calls
+	// the counts figures.
+	AgeMs int64 `json:"age_ms"`
+	// Lagging is a sample of the proxies that have an earlier version in force.
 	Lagging []operator.LaggingProxy `json:"lagging,omitempty"`
 }
 
@@ -335,6 +338,7 @@
 	return errors.Wrap(json.NewEncoder(d.out).Encode(p), "write output")
 }
 
+// withoutAges returns a copy of the progress in which all ages are 0.
 func withoutAges(p progress) progress {
 	zones := make([]zoneProgress, 0, len(p.Zones))
 	for _, zone := range p.Zones {
--- a/daemon/check.go
+++ b/daemon/check.go
@@ -39,8 +39,8 @@
 // errCheck means that dev --check found a fault.
 var errCheck = errors.New("daemon: check failed")
 
-// check sends calls, approves one version and prints the results. It returns errCheck if a call, the approval or an
-// invariant fails.
+// check sends calls, approves one version and prints the results. It fails with errCheck on the first fault that it
+// finds in the calls, the approval or the invariants.
 func (d *devDeployment) check(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
