--- a/ctl/exit.go
+++ b/ctl/exit.go
@@ -25,7 +25,8 @@
 	ExitUnreachable = 5
 	// ExitUnknown means that the request may or may not have taken effect; running the same command again is safe.
 	ExitUnknown = 6
-	// ExitNotInForce means that the version was not in force everywhere when the wait ended.
+	// ExitNotInForce means that the version was not in force on every proxy when --wait-timeout passed or the command was
+	// interrupted.
 	ExitNotInForce = 7
 	// ExitStopped means that the rollout that was watched is stopped.
 	ExitStopped = 8
@@ -35,25 +36,28 @@
 var (
 	// ErrUsage reports wrong arguments or flags.
 	ErrUsage = errors.New("wrong usage")
-	// ErrNotInForce reports that a wait ended before the version was in force everywhere.
+	// ErrNotInForce reports that a watch ended before the version was in force on every proxy.
 	ErrNotInForce = errors.New("version is not in force everywhere")
 	// ErrStopped reports that the watched rollout is stopped.
 	ErrStopped = errors.New("rollout is stopped")
 )
 
-// advice is the exit code and the next step for one kind of error.
-type advice struct {
-	kind error
-	code string
-	exit int
+// errorClass describes how one kind of error is reported.
+type errorClass struct {
+	// target is the error that errors.Is finds in errors of this class.
+	target error
+	// code is the error code of the JSON output. If it is empty, the code of the operator API is used.
+	code     string
+	exitCode int
+	// next tells the operator what to do.
 	next string
 }
 
-// advices lists the kinds of errors. The first that matches applies.
-var advices = []advice{
+// errorClasses lists the known classes. The first one that matches an error applies.
+var errorClasses = []errorClass{
 	{ErrUsage, "usage", ExitUsage, "run the command with --help"},
 	{ErrNotInForce, "not-in-force", ExitNotInForce,
-		"run 'sapphirectl watch' to go on, or see 'slow convergence' in docs/operators.md"},
+		"run 'sapphirectl watch' to keep watching, or see 'slow convergence' in docs/operators.md"},
 	{ErrStopped, "stopped", ExitStopped, "approve a corrected bundle with 'sapphirectl replace'"},
 	{operator.ErrVersionTaken, "", ExitRefused,
 		"another operator won the version: agree with them on the content, then choose a greater version"},
@@ -74,28 +78,28 @@
 		"nothing was changed; see 'lost quorum' in docs/operators.md, and run the command again once a quorum is back"},
 	{operator.ErrUnreachable, "", ExitUnreachable,
 		"check --control and the TLS flags, and that the control members run"},
-	{operator.ErrInternal, "", ExitFailure, "look into the log of the control member"},
+	{operator.ErrInternal, "", ExitFailure, "check the log of the control member"},
 }
 
-// adviceFor returns what is known about an error.
-func adviceFor(err error) advice {
+// classify returns the class of an error. An error of no known class gets ExitFailure and no next step.
+func classify(err error) errorClass {
 	var problems bundle.Problems
 	if errors.As(err, &problems) {
-		return advice{code: "invalid-bundle", exit: ExitInvalid, next: "correct the listed fields"}
+		return errorClass{code: "invalid-bundle", exitCode: ExitInvalid, next: "correct the listed fields"}
 	}
-	for _, candidate := range advices {
-		if errors.Is(err, candidate.kind) {
+	for _, candidate := range errorClasses {
+		if errors.Is(err, candidate.target) {
 			if candidate.code == "" {
 				candidate.code = operator.CodeOf(err)
 			}
 			return candidate
 		}
 	}
-	// cobra has no error value for unknown commands.
+	// cobra has no error value for unknown commands, so the message is matched.
 	if strings.HasPrefix(err.Error(), "unknown command") {
-		return advices[0]
+		return errorClasses[0]
 	}
-	return advice{code: "failure", exit: ExitFailure}
+	return errorClass{code: "failure", exitCode: ExitFailure}
 }
 
 // ExitCode returns the exit code for an error of a command.
@@ -103,7 +107,7 @@
 	if err == nil {
 		return ExitOK
 	}
-	return adviceFor(err).exit
+	return classify(err).exitCode
 }
 
-func usage(format string, args ...any) error { return errors.Wrapf(ErrUsage, format, args...) }
+func usageError(format string, args ...any) error { return errors.Wrapf(ErrUsage, format, args...) }
--- a/ctl/trace.go
+++ b/ctl/trace.go
@@ -18,13 +18,15 @@
 	"sapphiregate.example/sapphiregate/protocol"
 )
 
-// maxLogLine bounds one line of a log file. A line about a request has less than 1 KiB.
+// maxLogLine limits one line of a log file, in bytes. A line about a request is shorter than 1 KiB.
 const maxLogLine = 1 << 20
 
-// ErrNotLogged reports that no line of the given logs names a request.
+// ErrNotLogged reports that no line of the given logs has the request's identifier.
 var ErrNotLogged = errors.New("the request is not in the logs")
 
-// logLine is a line about a request. Fields that a line lacks are zero.
+// logLine is a log line about a request. Fields that the line does not have are zero. The line is from the request's
+// ingress, which is the node that received it from the caller, or from an executor, which is a node that the ingress
+// called and that passes the call to the upstream beside it.
 type logLine struct {
 	Instance       string           `json:"instance,omitempty"`
 	Time           time.Time        `json:"time"`
@@ -35,40 +37,51 @@
 	Outcome        protocol.Outcome `json:"outcome,omitempty"`
 	Reason         protocol.Reason  `json:"reason,omitempty"`
 	UpstreamStatus int              `json:"upstream_status,omitempty"`
-	Tried          []string         `json:"tried,omitempty"`
-	TriedInstance  string           `json:"tried_instance,omitempty"`
-	TookMs         int64            `json:"took_ms,omitempty"`
-	WaitedMs       int64            `json:"waited_ms,omitempty"`
-	UpstreamMs     int64            `json:"upstream_ms,omitempty"`
-	GivenMs        int64            `json:"given_ms,omitempty"`
-	LeftMs         int64            `json:"left_ms,omitempty"`
-	PauseMs        int64            `json:"pause_ms,omitempty"`
-	PatienceMs     int64            `json:"patience_ms,omitempty"`
-	Version        uint64           `json:"version,omitempty"`
-	VersionAgeMs   int64            `json:"version_age_ms,omitempty"`
-	Slots          int              `json:"slots,omitempty"`
-	Running        int              `json:"running,omitempty"`
-	Waiting        int              `json:"waiting,omitempty"`
-	LinesDropped   int              `json:"lines_dropped,omitempty"`
+	// Tried lists the instances that the ingress called, in order. TriedInstance is the one whose attempt failed.
+	Tried         []string `json:"tried,omitempty"`
+	TriedInstance string   `json:"tried_instance,omitempty"`
+	// TookMs is the time from the request's arrival at the ingress to its end.
+	TookMs int64 `json:"took_ms,omitempty"`
+	// WaitedMs is the time that the call waited for a slot, UpstreamMs the time that the upstream took.
+	WaitedMs   int64 `json:"waited_ms,omitempty"`
+	UpstreamMs int64 `json:"upstream_ms,omitempty"`
+	// GivenMs is the time until the deadline that the ingress gave the call, LeftMs the time that was left at the ingress.
+	GivenMs int64 `json:"given_ms,omitempty"`
+	LeftMs  int64 `json:"left_ms,omitempty"`
+	// PauseMs is the delay before the next attempt.
+	PauseMs int64 `json:"pause_ms,omitempty"`
+	// PatienceMs is the time that was left of the route's target latency when the ingress sent the call.
+	PatienceMs int64 `json:"patience_ms,omitempty"`
+	// Version is the version of the configuration, VersionAgeMs the time that it had been in force.
+	Version      uint64 `json:"version,omitempty"`
+	VersionAgeMs int64  `json:"version_age_ms,omitempty"`
+	// Slots, Running and Waiting are the upstream's slots, its calls in flight and the calls that waited for a slot.
+	Slots   int `json:"slots,omitempty"`
+	Running int `json:"running,omitempty"`
+	Waiting int `json:"waiting,omitempty"`
+	// LinesDropped is the number of lines about requests that the node did not write before this one.
+	LinesDropped int `json:"lines_dropped,omitempty"`
 }
 
-// requestTrace is the path of one request through the processes.
+// requestTrace is the path of one request through the processes, taken from their logs.
 type requestTrace struct {
+	// Request is the identifier of the request, or its idempotency key if it has no identifier.
 	Request string    `json:"request"`
 	Lines   []logLine `json:"lines"`
-	// Dropped is the number of lines about requests that the given logs left out; the path may then have gaps.
+	// Dropped is the number of lines about any request that the nodes did not write, because they limit the rate of such
+	// lines. If it is not 0, lines of this request may be missing.
 	Dropped int `json:"lines_dropped"`
-	// Cause explains the reason that ended the request.
+	// Cause explains the reason in the last line.
 	Cause string `json:"cause,omitempty"`
 }
 
 func (a *app) traceCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "trace REQUEST FILE...",
-		Short: "Show a request's path through the processes from their log files, in the order of cause",
+		Short: "Show a request's path through the processes from their log files, in causal order",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) < 2 {
-				return usage("%s takes a request and at least one log file", c.CommandPath())
+				return usageError("%s takes a request and at least one log file", c.CommandPath())
 			}
 			return nil
 		},
@@ -80,9 +93,9 @@
 				}
 			}
 			if len(trace.Lines) == 0 {
-				return errors.Wrapf(ErrNotLogged, "%s, in %d files; %d lines were left out of them", args[0], len(args)-1, trace.Dropped)
+				return errors.Wrapf(ErrNotLogged, "request %s, %d files read, %d lines left out of them", args[0], len(args)-1, trace.Dropped)
 			}
-			trace.order()
+			trace.sortByCause()
 			return a.print(c, trace, trace.print)
 		},
 	}
@@ -97,8 +110,8 @@
 	return errors.Wrapf(t.read(file), "read %s", name)
 }
 
-// read takes the lines about the request. Text before the JSON object of a line, as log collectors add it, is skipped, and
-// so are lines of other programs.
+// read adds the lines about the request. It skips the text that log collectors put before the JSON object of a line,
+// and lines without a JSON object.
 func (t *requestTrace) read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLogLine)
@@ -119,9 +132,10 @@
 	return scanner.Err()
 }
 
-// order sorts the lines by cause: clocks of instances differ, but the node that took the request in lists the instances
-// in the order in which it tried them, and its own last line comes after theirs.
-func (t *requestTrace) order() {
+// sortByCause sorts the lines in causal order and sets Cause. Times of different instances cannot be compared, as their
+// clocks differ. The ingress logs the instances in the order in which it tried them: the lines of each instance come in
+// that order, each followed by the ingress's line about the failed attempt, and the ingress's final line comes last.
+func (t *requestTrace) sortByCause() {
 	var tried []string
 	for _, line := range t.Lines {
 		if len(line.Tried) > len(tried) {
@@ -129,7 +143,7 @@
 		}
 	}
 	rank := func(line logLine) int {
-		if line.ends() {
+		if line.isFinal() {
 			return 2 * (len(tried) + 1)
 		}
 		index := slices.Index(tried, cmp.Or(line.TriedInstance, line.Instance))
@@ -147,31 +161,34 @@
 		}
 		return a.Time.Compare(b.Time)
 	})
-	t.Cause = causes[t.Lines[len(t.Lines)-1].Reason]
+	t.Cause = reasonExplanations[t.Lines[len(t.Lines)-1].Reason]
 }
 
-// ends reports whether the line is the last one of the node that took the request in.
-func (l *logLine) ends() bool {
+// isFinal reports whether the line is the last one of the ingress.
+func (l *logLine) isFinal() bool {
 	return l.Message == logging.RequestFailed || l.Message == logging.RequestAnswered || l.Message == logging.RequestRefused
 }
 
-// about names the instance that a line is about, if that is not the one that wrote it.
-func (l *logLine) about() string {
+// triedSuffix names the instance whose attempt failed, for a line of the ingress about that attempt. It is empty for
+// other lines.
+func (l *logLine) triedSuffix() string {
 	if l.TriedInstance == "" {
 		return ""
 	}
 	return " (tried " + l.TriedInstance + ")"
 }
 
+// print writes a table with one row per line. TOOK and LEFT are the total and the remaining time in lines of the
+// ingress, and the upstream's time and the time given to the call in lines of executors.
 func (t *requestTrace) print(w io.Writer) {
 	fmt.Fprintln(w, "STEP\tINSTANCE\tWHAT\tREASON\tSTATUS\tTOOK\tWAITED\tLEFT\tSLOTS\tVERSION")
 	for i, line := range t.Lines {
 		took, left := line.TookMs, line.LeftMs
-		if !line.ends() && line.Message != logging.AttemptFailed {
+		if !line.isFinal() && line.Message != logging.AttemptFailed {
 			took, left = line.UpstreamMs, line.GivenMs
 		}
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d ms\t%d ms\t%d ms\t%d of %d, %d wait\t%d, %d ms old\n", i+1,
-			printable(line.Instance), printable(line.Message+line.about()), printable(string(line.Reason)), line.UpstreamStatus, took,
+			printable(line.Instance), printable(line.Message+line.triedSuffix()), printable(string(line.Reason)), line.UpstreamStatus, took,
 			line.WaitedMs, left, line.Running, line.Slots, line.Waiting, line.Version, line.VersionAgeMs)
 	}
 	if t.Cause != "" {
@@ -182,8 +199,8 @@
 	}
 }
 
-// causes explains the reasons and names the next place to look.
-var causes = map[protocol.Reason]string{
+// reasonExplanations says for each reason what happened and where to look next.
+var reasonExplanations = map[protocol.Reason]string{
 	protocol.ReasonShed: "no slot was expected in time; see SLOTS, and which upstreams of the service announced " +
 		"themselves or left before",
 	protocol.ReasonDeadline:          "the time ran out; see which step took or waited longest",
@@ -193,11 +210,11 @@
 	protocol.ReasonDraining:          "the instance was leaving; see its 'upstream is leaving'",
 	protocol.ReasonCallLimit:         "the route's call limit was reached",
 	protocol.ReasonQuarantined:       "the request is in quarantine, since it crashed upstreams; see 'sapphirectl quarantine'",
-	protocol.ReasonUpstreamFailed:    "the upstream broke the connection or its answer was not genuine; see its own log",
+	protocol.ReasonUpstreamFailed:    "the upstream broke the connection or its response was not valid; see its own log",
 	protocol.ReasonUpstreamRefused:   "the upstream said that it has not run the request",
 	protocol.ReasonUnreachable:       "the upstream took no connection",
-	protocol.ReasonTruncated:         "the upstream cut its answer",
-	protocol.ReasonNodeFailed:        "the instance or the way to it broke; see whether its process ended or started at that time",
+	protocol.ReasonTruncated:         "the upstream's response ended before it was complete",
+	protocol.ReasonNodeFailed:        "the instance or the connection to it failed; see whether its process stopped or started at that time",
 	protocol.ReasonCallerGone:        "the caller closed its connection",
 	protocol.ReasonLedgerUnavailable: "the control members did not answer; see who leads them",
 	protocol.ReasonInProgress:        "an earlier request with this key has no recorded answer yet",
--- a/ctl/watch.go
+++ b/ctl/watch.go
@@ -17,33 +17,37 @@
 )
 
 const (
-	// defaultWatchInterval is the time between status requests. Figures reach a member about once a second.
+	// defaultWatchInterval is the time between two status requests. New proxy counts reach a member about once a second.
 	defaultWatchInterval = 500 * time.Millisecond
-	// defaultWaitTimeout bounds a watch. The longest expected rollout converges within seconds of the last fault.
+	// defaultWaitTimeout limits a watch. A rollout is expected to complete within seconds after the last fault is mended.
 	defaultWaitTimeout = 5 * time.Minute
-	// progressWidth is the number of characters of a progress bar.
+	// progressWidth is the number of characters between the brackets of a progress bar.
 	progressWidth = 20
 )
 
-// progress is what a status says about the rollout of one version.
+// progress is how far the rollout of one version is, according to a status.
 type progress struct {
 	Version uint64         `json:"version"`
 	State   string         `json:"state"`
 	Zones   []zoneProgress `json:"zones"`
-	// Note tells why the rollout is not judged to be complete although all counted proxies may have it.
+	// Note says why State is not "in-force" although all counted proxies may have the version, that no status is
+	// available, or that a later version supersedes this one.
 	Note string `json:"note,omitempty"`
 }
 
-// zoneProgress counts the proxies of one zone that have the version or a later one in force.
+// zoneProgress counts the proxies of one zone, and those of them that have the version or a later one in force.
 type zoneProgress struct {
-	Zone    string                  `json:"zone"`
-	InForce int                     `json:"in_force"`
-	Proxies int                     `json:"proxies"`
-	AgeMs   int64                   `json:"age_ms"`
+	Zone    string `json:"zone"`
+	InForce int    `json:"in_force"`
+	Proxies int    `json:"proxies"`
+	// AgeMs is the age of the counts in milliseconds, or operator.AgeUnknown if none have arrived. The text output calls
+	// the counts figures.
+	AgeMs int64 `json:"age_ms"`
+	// Lagging is a sample of the proxies that have an earlier version in force.
 	Lagging []operator.LaggingProxy `json:"lagging,omitempty"`
 }
 
-// The states of a progress.
+// The values of progress.State.
 const (
 	stateWaiting    = "waiting"
 	stateInProgress = "in-progress"
@@ -51,8 +55,8 @@
 	stateStopped    = "stopped"
 )
 
-// progressOf judges a status. A version counts as in force only if every counted proxy has it or a later one, and all
-// figures are fresh.
+// progressOf returns the progress of a version according to a status. The version is in force only if at least one
+// proxy is counted, every counted proxy has the version or a later one, and all counts are fresh.
 func progressOf(status operator.Status, version uint64) progress {
 	p := progress{Version: version, State: stateInProgress, Zones: []zoneProgress{}}
 	if status.Latest == nil || status.Latest.Version < version {
@@ -101,7 +105,7 @@
 		Short: "Watch a version, by default the latest, come into force",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) > 1 {
-				return usage("%s takes at most 1 argument", c.CommandPath())
+				return usageError("%s takes at most 1 argument", c.CommandPath())
 			}
 			return nil
 		},
@@ -117,7 +121,7 @@
 				}
 				return a.watch(c, client, version)
 			}
-			version, err := a.latest(c, client)
+			version, err := a.latestVersion(c, client)
 			if err != nil {
 				return err
 			}
@@ -127,8 +131,9 @@
 	return command
 }
 
-func (a *app) latest(c *cobra.Command, api operator.Backend) (uint64, error) {
-	ctx, cancel := a.deadline(c)
+// latestVersion returns the latest approved version, or operator.ErrUnknownVersion if there is none.
+func (a *app) latestVersion(c *cobra.Command, api operator.Backend) (uint64, error) {
+	ctx, cancel := a.requestContext(c)
 	defer cancel()
 	status, err := api.Status(ctx)
 	if err != nil {
@@ -140,7 +145,8 @@
 	return status.Latest.Version, nil
 }
 
-// watch shows the progress until the version is in force, the rollout is stopped or the wait ends.
+// watch shows the progress until the version is in force. It returns ErrStopped once the rollout is stopped and
+// ErrNotInForce when --wait-timeout passes or the command is interrupted.
 func (a *app) watch(c *cobra.Command, api operator.Backend, version uint64) error {
 	ctx, cancel := context.WithTimeout(c.Context(), a.waitTimeout)
 	defer cancel()
@@ -153,7 +159,7 @@
 		switch {
 		case err == nil:
 			last = progressOf(status, version)
-		case permanent(err):
+		case isPermanent(err):
 			return err
 		case ctx.Err() == nil:
 			last.Note = "status is not available: " + firstLine(err)
@@ -175,8 +181,9 @@
 	}
 }
 
-// permanent reports whether asking again for the status is pointless. Members that are away come back.
-func permanent(err error) bool {
+// isPermanent reports whether another status request would fail the same way. The errors listed here are temporary,
+// such as unreachable members or a lost quorum.
+func isPermanent(err error) bool {
 	return !errors.IsAny(err, operator.ErrUnreachable, operator.ErrNoQuorum, operator.ErrNotLeader,
 		operator.ErrInternal, operator.ErrOutcomeUnknown)
 }
@@ -186,7 +193,7 @@
 	return line
 }
 
-// summarize tells in one line how far the rollout is.
+// summarize returns one line with the totals of all zones and the note.
 func summarize(p progress) string {
 	inForce, proxies := 0, 0
 	for _, zone := range p.Zones {
@@ -200,11 +207,13 @@
 	return text
 }
 
-// display shows a progress.
+// display writes the progress of a watch each time that it may have changed.
 type display interface {
 	show(p progress) error
 }
 
+// display returns the display for the output format: live on a terminal that understands ANSI sequences, plain text
+// otherwise.
 func (a *app) display(out io.Writer) display {
 	if a.output == outputJSON {
 		return &jsonDisplay{out: out}
@@ -215,12 +224,13 @@
 	return &plainDisplay{out: out}
 }
 
-// lines formats a progress.
-func lines(p progress) []string {
+// formatProgress returns the lines that a terminal or a text file shows: a summary, then each zone with its lagging
+// proxies.
+func formatProgress(p progress) []string {
 	list := []string{fmt.Sprintf("version %d: %s, %s", p.Version, p.State, summarize(p))}
 	for _, zone := range p.Zones {
-		list = append(list, fmt.Sprintf("  %-16s %s %d/%d, %s", zone.Zone, bar(zone.InForce, zone.Proxies), zone.InForce,
-			zone.Proxies, age(zone.AgeMs)))
+		list = append(list, fmt.Sprintf("  %-16s %s %d/%d, %s", zone.Zone, progressBar(zone.InForce, zone.Proxies), zone.InForce,
+			zone.Proxies, formatCountsAge(zone.AgeMs)))
 		for _, proxy := range zone.Lagging {
 			list = append(list, fmt.Sprintf("    %s has version %d: %s", proxy.ID, proxy.Version, proxy.Reason))
 		}
@@ -228,7 +238,7 @@
 	return list
 }
 
-func bar(part, whole int) string {
+func progressBar(part, whole int) string {
 	filled := 0
 	if whole > 0 {
 		filled = min(max(progressWidth*part/whole, 0), progressWidth)
@@ -236,18 +246,19 @@
 	return "[" + strings.Repeat("#", filled) + strings.Repeat(".", progressWidth-filled) + "]"
 }
 
-// age formats the age of figures.
-func age(ms int64) string {
+// formatCountsAge formats the age in milliseconds of a zone's counts.
+func formatCountsAge(ms int64) string {
 	if ms == operator.AgeUnknown {
 		return "no figures yet"
 	}
 	return "figures " + (time.Duration(ms) * time.Millisecond).Round(100*time.Millisecond).String() + " old"
 }
 
-// liveDisplay redraws a block of lines on a terminal.
+// liveDisplay redraws a block of lines in place on a terminal.
 type liveDisplay struct {
-	out   io.Writer
-	drawn int
+	out io.Writer
+	// drawnLines is the number of lines of the block on the screen.
+	drawnLines int
 }
 
 // ANSI sequences that move the cursor to the start of the block and clear the screen below it.
@@ -258,21 +269,22 @@
 
 func (d *liveDisplay) show(p progress) error {
 	var text strings.Builder
-	if d.drawn > 0 {
-		fmt.Fprintf(&text, cursorUp, d.drawn)
+	if d.drawnLines > 0 {
+		fmt.Fprintf(&text, cursorUp, d.drawnLines)
 	}
 	text.WriteString(clearBelow)
-	list := lines(p)
+	list := formatProgress(p)
 	for _, line := range list {
 		text.WriteString(printable(line))
 		text.WriteString("\n")
 	}
-	d.drawn = len(list)
+	d.drawnLines = len(list)
 	_, err := io.WriteString(d.out, text.String())
 	return errors.Wrap(err, "write output")
 }
 
-// printable replaces control characters, as names and reasons come from other processes.
+// printable replaces control characters with '?'. Names and reasons come from other processes and must not be able to
+// control the operator's terminal.
 func printable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < 0x20 || r == 0x7f {
@@ -282,47 +294,51 @@
 	}, text)
 }
 
-// plainDisplay writes a line when something but the age of the figures changes.
+// plainDisplay writes those lines that were not in the previous progress. A zone's line that differs only in the age of
+// the counts is not written again.
 type plainDisplay struct {
-	out   io.Writer
-	shown map[string]bool
+	out io.Writer
+	// previousLines holds the lines of the previous progress, without ages.
+	previousLines map[string]bool
 }
 
 func (d *plainDisplay) show(p progress) error {
 	current := make(map[string]bool)
-	for i, line := range lines(p) {
+	for i, line := range formatProgress(p) {
 		line = printable(line)
 		key := line
 		if i > 0 && strings.Contains(line, "figures") {
 			key, _, _ = strings.Cut(line, ", ")
 		}
 		current[key] = true
-		if d.shown[key] {
+		if d.previousLines[key] {
 			continue
 		}
 		if _, err := fmt.Fprintln(d.out, line); err != nil {
 			return errors.Wrap(err, "write output")
 		}
 	}
-	d.shown = current
+	d.previousLines = current
 	return nil
 }
 
-// jsonDisplay writes one JSON object per line when the progress changes.
+// jsonDisplay writes the progress as one JSON object per line when something other than the age of the counts changes.
 type jsonDisplay struct {
-	out   io.Writer
-	shown string
+	out io.Writer
+	// previous is the previous progress without ages, formatted.
+	previous string
 }
 
 func (d *jsonDisplay) show(p progress) error {
 	key := fmt.Sprint(withoutAges(p))
-	if key == d.shown {
+	if key == d.previous {
 		return nil
 	}
-	d.shown = key
+	d.previous = key
 	return errors.Wrap(json.NewEncoder(d.out).Encode(p), "write output")
 }
 
+// withoutAges returns a copy of the progress in which all ages are 0.
 func withoutAges(p progress) progress {
 	zones := make([]zoneProgress, 0, len(p.Zones))
 	for _, zone := range p.Zones {
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -19,7 +19,7 @@
 	"sapphiregate.example/sapphiregate/state/ledger"
 )
 
-// memberStopTimeout bounds a planned stop of a control member, with the hand-over of the leadership.
+// memberStopTimeout limits a planned stop of a control member, including the transfer of its leadership.
 const memberStopTimeout = 5 * time.Second
 
 func newControlCommand() *cobra.Command {
@@ -39,11 +39,12 @@
 			})
 		},
 	}
-	registerSettings(command, &file)
+	addSettingsFlag(command, &file)
 	logs.register(command)
 	return command
 }
 
+// runControl runs a control member until the context ends or the member stops by itself, which is an error.
 func runControl(ctx context.Context, file string, loaded settings.Control, logger zerolog.Logger) error {
 	options, err := controlOptions(loaded, logger)
 	if err != nil {
@@ -71,10 +72,10 @@
 		}
 		defer adapter.Close()
 	}
-	running, cancelRunning := context.WithCancel(ctx)
-	defer cancelRunning()
-	context.AfterFunc(member.Stopped(), cancelRunning)
-	watchSettings(running, file, logger, func() error {
+	runContext, cancelRun := context.WithCancel(ctx)
+	defer cancelRun()
+	context.AfterFunc(member.Stopped(), cancelRun)
+	watchSettings(runContext, file, logger, func() error {
 		changed, err := settings.LoadControl(file)
 		if err == nil {
 			seeds.Store(&changed.Join)
@@ -82,28 +83,29 @@
 		return err
 	})
 	if member.Stopped().Err() != nil {
-		err := memberEnd(member)
+		err := stopReason(member)
 		logger.Error().Err(err).Msg("control member stopped")
 		return err
 	}
 	logger.Info().Msg("control member leaves")
-	stopping, cancel := context.WithTimeout(context.Background(), memberStopTimeout)
+	stopContext, cancel := context.WithTimeout(context.Background(), memberStopTimeout)
 	defer cancel()
-	err = member.Stop(stopping)
+	err = member.Stop(stopContext)
 	logger.Info().Err(err).Msg("control member stopped")
 	return err
 }
 
-// memberEnd explains why a member stopped by itself.
-func memberEnd(member *control.Member) error {
+// stopReason returns the error for a member that stopped without being told to.
+func stopReason(member *control.Member) error {
 	select {
 	case <-member.Removed():
 		return control.ErrRemoved
 	default:
-		return errors.New("daemon: the control member stopped by itself; see the log")
+		return errors.New("daemon: the control member stopped because of a failure; see its log")
 	}
 }
 
+// controlOptions reads the files that the settings name and returns the options of the member.
 func controlOptions(loaded settings.Control, logger zerolog.Logger) (control.Options, error) {
 	keys, err := loadKeyring(loaded.Keyring, loaded.TrustedOperators)
 	if err != nil {
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -13,50 +13,51 @@
 	"sapphiregate.example/sapphiregate/platform"
 )
 
-// settingsCheckInterval is the time between two looks whether the settings file has changed, since a change may come
-// without a signal.
+// settingsCheckInterval is the time between two checks of the settings file's modification time, which find changes
+// that come without a SIGHUP.
 const settingsCheckInterval = 2 * time.Second
 
-// reloads receives SIGHUP. It stays registered until the process ends: without a receiver, the signal would end a process
-// that is starting, or one that is leaving and still has requests in flight.
-var reloads = make(chan os.Signal, 1)
+// reloadSignals receives SIGHUP until the process exits. Without a receiver, the signal would kill a process that is
+// still starting, or one that is shutting down and still has requests in flight.
+var reloadSignals = make(chan os.Signal, 1)
 
-func receiveReloads() { signal.Notify(reloads, syscall.SIGHUP) }
+func registerReloadSignal() { signal.Notify(reloadSignals, syscall.SIGHUP) }
 
-// registerSettings adds the flag that names the settings file.
-func registerSettings(command *cobra.Command, file *string) {
+// addSettingsFlag adds the --settings flag, which is required unless the environment names the file.
+func addSettingsFlag(command *cobra.Command, file *string) {
 	command.Flags().StringVar(file, "settings", os.Getenv(platform.SettingsVariable), "JSON settings file")
 	if os.Getenv(platform.SettingsVariable) == "" {
 		_ = command.MarkFlagRequired("settings")
 	}
 }
 
-// watchSettings applies changes of the settings file until the context ends. A file that cannot be used is reported and
-// changes nothing.
+// watchSettings calls reload after a SIGHUP and after each change of the settings file, and returns when the context
+// ends. An error of reload is logged; the process then keeps the settings that it has.
 func watchSettings(ctx context.Context, file string, logger zerolog.Logger, reload func() error) {
 	ticker := time.NewTicker(settingsCheckInterval)
 	defer ticker.Stop()
-	last := modified(file)
+	last := modificationTime(file)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-reloads:
+		case <-reloadSignals:
 		case <-ticker.C:
-			if modified(file).Equal(last) {
+			if modificationTime(file).Equal(last) {
 				continue
 			}
 		}
-		last = modified(file)
+		last = modificationTime(file)
 		if err := reload(); err != nil {
-			logger.Error().Err(err).Msg("kept the former settings")
+			logger.Error().Err(err).Msg("settings not reloaded; the process keeps the settings it has")
 			continue
 		}
 		logger.Info().Str("file", file).Msg("settings reloaded")
 	}
 }
 
-func modified(file string) time.Time {
+// modificationTime returns the zero time if the file cannot be read.
+func modificationTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -10,9 +10,10 @@
 	"github.com/rs/zerolog"
 )
 
-// Guards against a SIGHUP that ends a process which is leaving: its requests in flight would be cut off.
-func TestReloadSignalWhileLeaving(t *testing.T) {
-	receiveReloads()
+// Guards against a SIGHUP that kills a process during its graceful shutdown and so cuts off the requests in flight.
+// SIGHUP kills a process that has no receiver for it, so the receiver must stay after watchSettings has returned.
+func TestReloadSignalDuringShutdown(t *testing.T) {
+	registerReloadSignal()
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	watchSettings(ended, os.DevNull, zerolog.Nop(), func() error { return nil })
@@ -20,8 +21,8 @@
 		t.Fatal(err)
 	}
 	select {
-	case <-reloads:
+	case <-reloadSignals:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the signal was not received")
+		t.Fatal("SIGHUP was not received after watchSettings returned")
 	}
 }
