--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -22,40 +22,40 @@
 	nodeCount   = 4
 	// stopTimeout bounds a planned stop; the nodes' drain timeout is 5 s.
 	stopTimeout = 10 * time.Second
-	// startGrace is the least age at which a process gets SIGTERM or SIGHUP. In the first milliseconds the Go runtime has not
+	// minSignalAge is the least age at which a process gets SIGTERM or SIGHUP. In the first milliseconds the Go runtime has not
 	// installed its handlers yet, and either signal ends the process.
-	startGrace   = 500 * time.Millisecond
+	minSignalAge = 500 * time.Millisecond
 	operatorName = "soak"
 	service      = "desk"
 	keyringFile  = "keyring.json"
 )
 
-// program is one process of the deployment. It is started again with the same settings.
-type program struct {
+// process is one process of the deployment. It is started again with the same settings.
+type process struct {
 	name     string
 	role     string
 	settings map[string]any
 	folder   string
 	binary   string
-	// data is the data folder of a member.
-	data    string
-	callers string
-	admin   string
-	proxy   *proxy
+	// dataFolder is the dataFolder folder of a member.
+	dataFolder    string
+	callerAddress string
+	adminAddress  string
+	proxy         *proxy
 
 	mu      sync.Mutex
 	command *exec.Cmd
 	started time.Time
-	ended   chan struct{}
-	log     *os.File
+	exited  chan struct{}
+	logFile *os.File
 }
 
 // host is where the processes of this soak listen. Outgoing connections come from 127.0.0.1 and other soaks use other
 // hosts, so that no port is taken while its process is down.
 var host = fmt.Sprintf("127.%d.%d.1", 10+os.Getpid()%200, 1+os.Getpid()/200%250)
 
-// reserved holds the addresses that were handed out, whether a process listens there at present or not.
-var reserved sync.Map
+// reservedAddresses holds the addresses that were handed out, whether a process listens there at present or not.
+var reservedAddresses sync.Map
 
 // listen opens a port of host that was not handed out before.
 func listen() (net.Listener, error) {
@@ -64,7 +64,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "soak: listen")
 		}
-		if _, taken := reserved.LoadOrStore(listener.Addr().String(), true); !taken {
+		if _, taken := reservedAddresses.LoadOrStore(listener.Addr().String(), true); !taken {
 			return listener, nil
 		}
 		_ = listener.Close()
@@ -83,12 +83,12 @@
 
 // deployment is a group of members that manages itself, and nodes with an upstream each.
 type deployment struct {
-	members, nodes []*program
+	members, nodes []*process
 	key            bundle.PrivateKey
 	upstreams      []*upstream
 }
 
-func newDeployment(binary, folder string, seen *history) (*deployment, error) {
+func newDeployment(binary, folder string, recorder *recorder) (*deployment, error) {
 	d := &deployment{}
 	var err error
 	if d.key, err = bundle.GenerateKey(operatorName, rand.Reader); err != nil {
@@ -98,15 +98,15 @@
 		return nil, err
 	}
 	for i := range memberCount {
-		p, err := newProgram(binary, folder, "control", fmt.Sprintf("member-%d", i))
+		p, err := newProcess(binary, folder, "control", fmt.Sprintf("member-%d", i))
 		if err != nil {
 			return nil, err
 		}
-		p.data = filepath.Join(folder, p.name)
+		p.dataFolder = filepath.Join(folder, p.name)
 		d.members = append(d.members, p)
 	}
 	for i := range nodeCount {
-		p, err := newProgram(binary, folder, "node", fmt.Sprintf("node-%d", i))
+		p, err := newProcess(binary, folder, "node", fmt.Sprintf("node-%d", i))
 		if err != nil {
 			return nil, err
 		}
@@ -117,33 +117,33 @@
 		join = append(join, m.proxy.address())
 	}
 	for i, m := range d.members {
-		platform, err := freeAddress()
+		operatorAddress, err := freeAddress()
 		if err != nil {
 			return nil, err
 		}
-		m.settings["data_folder"] = m.data
+		m.settings["data_folder"] = m.dataFolder
 		m.settings["zone"] = fmt.Sprintf("zone-%d", i)
 		m.settings["join"] = join
 		m.settings["ledger_groups"] = 0
-		m.settings["platform"] = map[string]any{"operators": platform, "first_start": true, "tolerated_instances": 1}
+		m.settings["platform"] = map[string]any{"operators": operatorAddress, "first_start": true, "tolerated_instances": 1}
 	}
 	for i, n := range d.nodes {
-		u, err := newUpstream(seen)
+		u, err := newUpstream(recorder)
 		if err != nil {
 			return nil, err
 		}
 		d.upstreams = append(d.upstreams, u)
 		n.settings["zone"] = fmt.Sprintf("zone-%d", i%memberCount)
 		n.settings["join"] = join
-		n.settings["callers"] = n.callers
+		n.settings["callers"] = n.callerAddress
 		n.settings["upstream"] = map[string]any{"service": service, "address": u.address(), "slots": 8}
 		n.settings["limits"] = map[string]any{"drain_timeout": "5s"}
 	}
 	return d, nil
 }
 
-func newProgram(binary, folder, role, name string) (*program, error) {
-	p := &program{name: name, role: role, folder: folder, binary: binary}
+func newProcess(binary, folder, role, name string) (*process, error) {
+	p := &process{name: name, role: role, folder: folder, binary: binary}
 	var addresses []string
 	for range 3 {
 		address, err := freeAddress()
@@ -152,25 +152,27 @@
 		}
 		addresses = append(addresses, address)
 	}
-	p.callers, p.admin = addresses[1], addresses[2]
+	p.callerAddress, p.adminAddress = addresses[1], addresses[2]
 	var err error
 	if p.proxy, err = newProxy(addresses[0]); err != nil {
 		return nil, err
 	}
 	p.settings = map[string]any{
-		"instance": name, "mesh": addresses[0], "admin": p.admin, "advertise": p.proxy.address(),
+		"instance": name, "mesh": addresses[0], "admin": p.adminAddress, "advertise": p.proxy.address(),
 		"tls": map[string]any{"insecure": true}, "keyring": filepath.Join(folder, keyringFile),
 	}
-	if p.log, err = os.Create(filepath.Join(folder, name+".log")); err != nil {
+	if p.logFile, err = os.Create(filepath.Join(folder, name+".log")); err != nil {
 		return nil, errors.Wrap(err, "soak: create a log")
 	}
 	return p, nil
 }
 
-func (d *deployment) all() []*program { return append(append([]*program{}, d.members...), d.nodes...) }
+func (d *deployment) processes() []*process {
+	return append(append([]*process{}, d.members...), d.nodes...)
+}
 
 func (d *deployment) start() error {
-	for _, p := range d.all() {
+	for _, p := range d.processes() {
 		if err := p.start(); err != nil {
 			return err
 		}
@@ -178,8 +180,8 @@
 	return nil
 }
 
-// formed makes further starts of members join the group instead of forming it.
-func (d *deployment) formed() {
+// joinOnRestart makes further starts of members join the group instead of forming it.
+func (d *deployment) joinOnRestart() {
 	for _, m := range d.members {
 		m.mu.Lock()
 		m.settings["platform"].(map[string]any)["first_start"] = false
@@ -188,18 +190,18 @@
 }
 
 func (d *deployment) close() {
-	for _, p := range d.all() {
+	for _, p := range d.processes() {
 		p.resume()
 		p.kill()
 		p.proxy.close()
-		_ = p.log.Close()
+		_ = p.logFile.Close()
 	}
 	for _, u := range d.upstreams {
 		u.close()
 	}
 }
 
-func (p *program) start() error {
+func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	data, err := json.Marshal(p.settings)
@@ -211,39 +213,39 @@
 		return errors.Wrap(err, "soak: write settings")
 	}
 	p.command = exec.Command(p.binary, p.role, "--settings", file)
-	p.command.Stdout, p.command.Stderr = p.log, p.log
+	p.command.Stdout, p.command.Stderr = p.logFile, p.logFile
 	if err := p.command.Start(); err != nil {
 		return errors.Wrapf(err, "soak: start %s", p.name)
 	}
-	p.started, p.ended = time.Now(), make(chan struct{})
-	go func(command *exec.Cmd, ended chan struct{}) {
+	p.started, p.exited = time.Now(), make(chan struct{})
+	go func(command *exec.Cmd, exited chan struct{}) {
 		_ = command.Wait() // The exit code is read from the state.
-		close(ended)
-	}(p.command, p.ended)
+		close(exited)
+	}(p.command, p.exited)
 	return nil
 }
 
-func (p *program) signal(s syscall.Signal) chan struct{} {
+func (p *process) signal(s syscall.Signal) chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_ = p.command.Process.Signal(s) // The process may have ended already.
-	return p.ended
+	return p.exited
 }
 
-func (p *program) kill() { <-p.signal(syscall.SIGKILL) }
+func (p *process) kill() { <-p.signal(syscall.SIGKILL) }
 
-func (p *program) pause()  { p.signal(syscall.SIGSTOP) }
-func (p *program) resume() { p.signal(syscall.SIGCONT) }
+func (p *process) pause()  { p.signal(syscall.SIGSTOP) }
+func (p *process) resume() { p.signal(syscall.SIGCONT) }
 
-// settle waits until the process handles signals.
-func (p *program) settle() { time.Sleep(time.Until(p.started.Add(startGrace))) }
+// awaitSignalHandlers waits until the process handles signals.
+func (p *process) awaitSignalHandlers() { time.Sleep(time.Until(p.started.Add(minSignalAge))) }
 
 // stop ends the process as planned. It returns an error if that takes too long or the process reports a failure.
-func (p *program) stop() error {
-	p.settle()
-	ended := p.signal(syscall.SIGTERM)
+func (p *process) stop() error {
+	p.awaitSignalHandlers()
+	exited := p.signal(syscall.SIGTERM)
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After(stopTimeout):
 		p.kill()
 		return errors.Newf("%s did not stop within %v", p.name, stopTimeout)
@@ -255,4 +257,4 @@
 }
 
 // wipe empties a member's disk while the process is down.
-func (p *program) wipe() error { return errors.Wrap(os.RemoveAll(p.data), "soak: wipe a disk") }
+func (p *process) wipe() error { return errors.Wrap(os.RemoveAll(p.dataFolder), "soak: wipe a disk") }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -11,32 +11,32 @@
 // Bounds of the faults. They are longer than an election (1 s) and the silence after which calls go elsewhere, and short
 // enough for a seed of 20 s to have dozens.
 const (
-	minGap      = 200 * time.Millisecond
-	gapSpread   = 1000 * time.Millisecond
-	minFault    = 300 * time.Millisecond
-	faultSpread = 2500 * time.Millisecond
-	maxDelay    = 300 * time.Millisecond
-	// wipePause is the least time between two lost disks. The group tolerates one at a time and repairs it within seconds.
-	wipePause = 8 * time.Second
+	minFaultInterval    = 200 * time.Millisecond
+	faultIntervalSpread = 1000 * time.Millisecond
+	minFaultDuration    = 300 * time.Millisecond
+	faultDurationSpread = 2500 * time.Millisecond
+	maxLinkDelay        = 300 * time.Millisecond
+	// minWipeInterval is the least time between two lost disks. The group tolerates one at a time and repairs it within seconds.
+	minWipeInterval = 8 * time.Second
 )
 
 // injector carries out a seeded schedule of faults. Faults of one process never overlap, those of different ones do.
 type injector struct {
-	deployment *deployment
-	seen       *history
-	rng        *rand.Rand
-	busy       map[*program]*sync.Mutex
-	lastWipe   time.Time
-	running    sync.WaitGroup
+	deployment   *deployment
+	recorder     *recorder
+	rng          *rand.Rand
+	locks        map[*process]*sync.Mutex
+	lastWipe     time.Time
+	activeFaults sync.WaitGroup
 }
 
-func newInjector(d *deployment, seen *history, seed uint64) *injector {
+func newInjector(d *deployment, recorder *recorder, seed uint64) *injector {
 	i := &injector{
-		deployment: d, seen: seen, rng: rand.New(rand.NewPCG(seed, seed)), busy: make(map[*program]*sync.Mutex),
+		deployment: d, recorder: recorder, rng: rand.New(rand.NewPCG(seed, seed)), locks: make(map[*process]*sync.Mutex),
 		lastWipe: time.Now(),
 	}
-	for _, p := range d.all() {
-		i.busy[p] = new(sync.Mutex)
+	for _, p := range d.processes() {
+		i.locks[p] = new(sync.Mutex)
 	}
 	return i
 }
@@ -44,88 +44,88 @@
 // run injects faults until the context ends, and returns once all of them have ended.
 func (i *injector) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		i.next()
-		pause(ctx, minGap+time.Duration(i.rng.Int64N(int64(gapSpread))))
+		i.startFault()
+		sleep(ctx, minFaultInterval+time.Duration(i.rng.Int64N(int64(faultIntervalSpread))))
 	}
-	i.running.Wait()
+	i.activeFaults.Wait()
 }
 
-// next starts one fault. All random numbers are drawn here, so that a seed gives one schedule.
-func (i *injector) next() {
-	all := i.deployment.all()
+// startFault starts one fault. All random numbers are drawn here, so that a seed gives one schedule.
+func (i *injector) startFault() {
+	all := i.deployment.processes()
 	target := all[i.rng.IntN(len(all))]
-	lasts := minFault + time.Duration(i.rng.Int64N(int64(faultSpread)))
-	delay := time.Duration(i.rng.Int64N(int64(maxDelay)))
+	duration := minFaultDuration + time.Duration(i.rng.Int64N(int64(faultDurationSpread)))
+	delay := time.Duration(i.rng.Int64N(int64(maxLinkDelay)))
 	kind := i.rng.IntN(8)
-	if kind == 7 && (target.role != "control" || time.Since(i.lastWipe) < wipePause) {
+	if kind == 7 && (target.role != "control" || time.Since(i.lastWipe) < minWipeInterval) {
 		kind = 0
 	}
 	if kind == 7 {
 		i.lastWipe = time.Now()
 	}
-	i.running.Go(func() {
-		i.busy[target].Lock()
-		defer i.busy[target].Unlock()
-		i.inject(target, kind, lasts, delay)
+	i.activeFaults.Go(func() {
+		i.locks[target].Lock()
+		defer i.locks[target].Unlock()
+		i.inject(target, kind, duration, delay)
 	})
 }
 
-func (i *injector) inject(p *program, kind int, lasts, delay time.Duration) {
+func (i *injector) inject(p *process, kind int, duration, delay time.Duration) {
 	switch kind {
 	case 0:
-		i.seen.note("%s is killed for %v", p.name, lasts)
+		i.recorder.logEvent("%s is killed for %v", p.name, duration)
 		p.kill()
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		i.restart(p)
 	case 1:
-		i.seen.note("%s is stopped as planned and started again", p.name)
+		i.recorder.logEvent("%s is stopped as planned and started again", p.name)
 		if err := p.stop(); err != nil {
-			i.seen.breach("%v", err)
+			i.recorder.reportViolation("%v", err)
 		}
 		i.restart(p)
 	case 2:
-		i.seen.note("%s is paused for %v", p.name, lasts)
-		p.settle() // A process that is paused while it starts handles no signal when it is resumed.
+		i.recorder.logEvent("%s is paused for %v", p.name, duration)
+		p.awaitSignalHandlers() // A process that is paused while it starts handles no signal when it is resumed.
 		p.pause()
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		p.resume()
 	case 3:
-		i.link(p, lasts, "falls silent", linkFault{dropRequests: true, dropAnswers: true})
+		i.injectLinkFault(p, duration, "falls silent", linkFault{dropRequests: true, dropResponses: true})
 	case 4:
-		i.link(p, lasts, "loses its answers", linkFault{dropAnswers: true})
+		i.injectLinkFault(p, duration, "loses its answers", linkFault{dropResponses: true})
 	case 5:
-		i.link(p, lasts, "is delayed by "+delay.String(), linkFault{delay: delay})
+		i.injectLinkFault(p, duration, "is delayed by "+delay.String(), linkFault{delay: delay})
 	case 6:
-		i.seen.note("connections to %s are reset; its settings are read again", p.name)
+		i.recorder.logEvent("connections to %s are reset; its settings are read again", p.name)
 		p.proxy.reset()
-		p.settle()
+		p.awaitSignalHandlers()
 		p.signal(syscall.SIGHUP)
 	case 7:
-		i.seen.note("%s loses its disk and is down for %v", p.name, lasts)
+		i.recorder.logEvent("%s loses its disk and is down for %v", p.name, duration)
 		p.kill()
 		if err := p.wipe(); err != nil {
-			i.seen.breach("%v", err)
+			i.recorder.reportViolation("%v", err)
 		}
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		i.restart(p)
 	}
 }
 
-func (i *injector) link(p *program, lasts time.Duration, what string, fault linkFault) {
-	i.seen.note("the link to %s %s for %v", p.name, what, lasts)
-	p.proxy.set(fault)
-	time.Sleep(lasts)
-	p.proxy.set(linkFault{})
+func (i *injector) injectLinkFault(p *process, duration time.Duration, effect string, fault linkFault) {
+	i.recorder.logEvent("the link to %s %s for %v", p.name, effect, duration)
+	p.proxy.setFault(fault)
+	time.Sleep(duration)
+	p.proxy.setFault(linkFault{})
 }
 
-func (i *injector) restart(p *program) {
+func (i *injector) restart(p *process) {
 	if err := p.start(); err != nil {
-		i.seen.breach("%v", err)
+		i.recorder.reportViolation("%v", err)
 	}
 }
 
-// pause waits, or returns when the context ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits, or returns when the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -13,8 +13,8 @@
 type linkFault struct {
 	// delay holds back data in both directions.
 	delay time.Duration
-	// dropRequests and dropAnswers swallow data to and from the target while connections stay open.
-	dropRequests, dropAnswers bool
+	// dropRequests and dropResponses swallow data to and from the target while connections stay open.
+	dropRequests, dropResponses bool
 }
 
 // proxy passes TCP connections on to one process and injects faults on the way.
@@ -41,39 +41,39 @@
 
 func (p *proxy) accept() {
 	for {
-		caller, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return // The listener is closed.
 		}
-		go p.serve(caller)
+		go p.serve(client)
 	}
 }
 
-func (p *proxy) serve(caller net.Conn) {
-	defer caller.Close()
+func (p *proxy) serve(client net.Conn) {
+	defer client.Close()
 	target, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return // The caller sees a closed connection, as of a process that is down.
 	}
 	defer target.Close()
-	p.track(caller, target)
-	defer p.forget(caller, target)
-	var passing sync.WaitGroup
-	passing.Go(func() { p.pass(target, caller, func(f linkFault) bool { return f.dropRequests }) })
-	passing.Go(func() { p.pass(caller, target, func(f linkFault) bool { return f.dropAnswers }) })
-	passing.Wait()
+	p.track(client, target)
+	defer p.untrack(client, target)
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forward(target, client, func(f linkFault) bool { return f.dropRequests }) })
+	directions.Go(func() { p.forward(client, target, func(f linkFault) bool { return f.dropResponses }) })
+	directions.Wait()
 }
 
-// pass copies data until either side ends. Data that is dropped once breaks the stream for good, as a cut of a link that
+// forward copies data until either side ends. Data that is dropped once breaks the stream for good, as a cut of a link that
 // outlasts the retransmissions would, so that nothing is passed on afterwards.
-func (p *proxy) pass(to, from net.Conn, drops func(linkFault) bool) {
+func (p *proxy) forward(to, from net.Conn, isDropped func(linkFault) bool) {
 	defer to.Close()
 	buffer := make([]byte, proxyBuffer)
 	broken := false
 	for {
 		n, err := from.Read(buffer)
-		fault := p.current()
-		broken = broken || n > 0 && drops(fault)
+		fault := p.currentFault()
+		broken = broken || n > 0 && isDropped(fault)
 		if !broken && n > 0 {
 			time.Sleep(fault.delay)
 			if _, err := to.Write(buffer[:n]); err != nil {
@@ -86,13 +86,13 @@
 	}
 }
 
-func (p *proxy) current() linkFault {
+func (p *proxy) currentFault() linkFault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault
 }
 
-func (p *proxy) set(f linkFault) {
+func (p *proxy) setFault(f linkFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
@@ -106,7 +106,7 @@
 	}
 }
 
-func (p *proxy) forget(conns ...net.Conn) {
+func (p *proxy) untrack(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -28,15 +28,15 @@
 	// recoveryTimeout is the promise for the time after the last fault: service is back and new versions are in force.
 	recoveryTimeout = 15 * time.Second
 	// callTimeout bounds one request of a caller.
-	callTimeout = 3 * time.Second
-	callers     = 6
-	callPause   = 25 * time.Millisecond
-	// changePause is the time between two changes of the configuration.
-	changePause = 700 * time.Millisecond
+	callTimeout  = 3 * time.Second
+	callerCount  = 6
+	callInterval = 25 * time.Millisecond
+	// changeInterval is the time between two changes of the configuration.
+	changeInterval = 700 * time.Millisecond
 	// historyLimit is more than the versions of the longest seed: 20 s of faults and 15 s of recovery at lookPause.
 	historyLimit = 1000
-	// lookPause is the time between two looks at the versions of the nodes.
-	lookPause = 100 * time.Millisecond
+	// pollInterval is the time between two looks at the versions of the nodes.
+	pollInterval = 100 * time.Millisecond
 )
 
 // Options set up a run of one seed.
@@ -44,19 +44,19 @@
 	// Binary is the path of the daemon.
 	Binary string
 	Seed   uint64
-	// Faults is the time for which faults are injected.
-	Faults time.Duration
+	// FaultDuration is the time for which faults are injected.
+	FaultDuration time.Duration
 }
 
 // Result is the result of one seed.
 type Result struct {
-	Seed     uint64
-	Sent     int
-	Served   int
-	Approved uint64
-	Recovery time.Duration
-	Broken   []string
-	Timeline []event
+	Seed            uint64
+	Responses       int
+	Served          int
+	ApprovedVersion uint64
+	Recovery        time.Duration
+	Violations      []string
+	Timeline        []event
 	// Folder holds the logs. It is removed if no promise was broken.
 	Folder string
 }
@@ -68,8 +68,8 @@
 		return Result{}, errors.Wrap(err, "soak: create a folder")
 	}
 	report := Result{Seed: options.Seed, Folder: folder}
-	seen := newHistory()
-	d, err := newDeployment(options.Binary, folder, seen)
+	recorder := newRecorder()
+	d, err := newDeployment(options.Binary, folder, recorder)
 	if err != nil {
 		return report, err
 	}
@@ -77,45 +77,45 @@
 	if err := d.start(); err != nil {
 		return report, err
 	}
-	r := &run{deployment: d, seen: seen, inForce: make(map[string]uint64), acknowledged: make(map[uint64]bundle.Digest)}
+	r := &seedRun{deployment: d, recorder: recorder, inForce: make(map[string]uint64), acknowledged: make(map[uint64]bundle.Digest)}
 	if err := r.connect(); err != nil {
 		return report, err
 	}
-	if !r.await(ctx, startTimeout, func() bool { return r.change(ctx) && r.allInForce(r.approved) }) {
-		report.Timeline = seen.timeline
+	if !r.await(ctx, startTimeout, func() bool { return r.approveNext(ctx) && r.allInForce(r.approved) }) {
+		report.Timeline = recorder.timeline
 		return report, errors.Newf("soak: the deployment did not start within %v; logs are in %s", startTimeout, folder)
 	}
-	d.formed()
-	report.Recovery = r.play(ctx, options)
-	seen.settle()
-	report.Sent, report.Served, report.Approved = seen.sent, seen.served, r.approved
-	report.Broken, report.Timeline = seen.broken, seen.timeline
-	if len(report.Broken) == 0 {
+	d.joinOnRestart()
+	report.Recovery = r.injectAndRecover(ctx, options)
+	recorder.checkNotRun()
+	report.Responses, report.Served, report.ApprovedVersion = recorder.responses, recorder.served, r.approved
+	report.Violations, report.Timeline = recorder.violations, recorder.timeline
+	if len(report.Violations) == 0 {
 		return report, errors.Wrap(os.RemoveAll(folder), "soak: remove the logs")
 	}
 	return report, nil
 }
 
-// run is one seed in progress.
-type run struct {
+// seedRun is one seed in progress.
+type seedRun struct {
 	deployment *deployment
-	seen       *history
+	recorder   *recorder
 	operator   *operator.Client
-	// next and approved are the last version that was sent and the last one that was acknowledged.
-	next, approved uint64
+	// submitted and approved are the last version that was sent and the last one that was acknowledged.
+	submitted, approved uint64
 	// acknowledged holds the digest of each acknowledged version.
 	acknowledged map[uint64]bundle.Digest
-	// waiting is set while the last version that was sent has no acknowledgement.
-	waiting bool
+	// unacknowledged is set while the last version that was sent has no acknowledgement.
+	unacknowledged bool
 	// inForce is the greatest version seen of each process, by name and life.
 	mu      sync.Mutex
 	inForce map[string]uint64
 }
 
-func (r *run) connect() error {
+func (r *seedRun) connect() error {
 	var addresses []string
 	for _, m := range r.deployment.members {
-		addresses = append(addresses, m.admin)
+		addresses = append(addresses, m.adminAddress)
 	}
 	var err error
 	r.operator, err = operator.NewClient(operator.ClientConfig{
@@ -124,45 +124,45 @@
 	return errors.Wrap(err, "soak: connect to the operator API")
 }
 
-// play injects faults under load and returns the time to recover after the last one.
-func (r *run) play(ctx context.Context, options Options) time.Duration {
-	load, stopLoad := context.WithCancel(ctx)
+// injectAndRecover injects faults under load and returns the time to recover after the last one.
+func (r *seedRun) injectAndRecover(ctx context.Context, options Options) time.Duration {
+	loadCtx, stopLoad := context.WithCancel(ctx)
 	var background sync.WaitGroup
-	for c := range callers {
-		background.Go(func() { r.call(load, c) })
-	}
-	background.Go(func() { r.watch(load) })
-	changes, stopChanges := context.WithCancel(ctx)
-	var changing sync.WaitGroup
-	changing.Go(func() {
-		for changes.Err() == nil {
-			r.change(changes)
-			pause(changes, changePause)
+	for c := range callerCount {
+		background.Go(func() { r.runCaller(loadCtx, c) })
+	}
+	background.Go(func() { r.watchVersions(loadCtx) })
+	changeCtx, stopChanges := context.WithCancel(ctx)
+	var changeLoop sync.WaitGroup
+	changeLoop.Go(func() {
+		for changeCtx.Err() == nil {
+			r.approveNext(changeCtx)
+			sleep(changeCtx, changeInterval)
 		}
 	})
-	faults, stopFaults := context.WithTimeout(ctx, options.Faults)
-	newInjector(r.deployment, r.seen, options.Seed).run(faults)
+	faultCtx, stopFaults := context.WithTimeout(ctx, options.FaultDuration)
+	newInjector(r.deployment, r.recorder, options.Seed).run(faultCtx)
 	stopFaults()
-	r.seen.note("the last fault has ended")
-	healed := time.Now()
+	r.recorder.logEvent("the last fault has ended")
+	lastFaultEnd := time.Now()
 	stopChanges()
-	changing.Wait()
-	if !r.await(ctx, recoveryTimeout, func() bool { return r.change(ctx) && r.allInForce(r.approved) }) {
-		r.seen.breach("no new version was in force on all nodes %v after the last fault (%s)", recoveryTimeout, r.versions())
+	changeLoop.Wait()
+	if !r.await(ctx, recoveryTimeout, func() bool { return r.approveNext(ctx) && r.allInForce(r.approved) }) {
+		r.recorder.reportViolation("no new version was in force on all nodes %v after the last fault (%s)", recoveryTimeout, r.describeVersions())
 	}
 	r.checkHistory(ctx)
-	before := r.seen.servedCount()
-	if !r.await(ctx, recoveryTimeout, func() bool { return r.seen.servedCount() >= before+callers }) {
-		r.seen.breach("callers were not served again within %v", recoveryTimeout)
+	before := r.recorder.servedCount()
+	if !r.await(ctx, recoveryTimeout, func() bool { return r.recorder.servedCount() >= before+callerCount }) {
+		r.recorder.reportViolation("callers were not served again within %v", recoveryTimeout)
 	}
-	recovery := time.Since(healed)
+	recovery := time.Since(lastFaultEnd)
 	stopLoad()
 	background.Wait()
 	return recovery
 }
 
-func (r *run) await(ctx context.Context, limit time.Duration, done func() bool) bool {
-	for end := time.Now().Add(limit); time.Now().Before(end) && ctx.Err() == nil; pause(ctx, lookPause) {
+func (r *seedRun) await(ctx context.Context, limit time.Duration, done func() bool) bool {
+	for end := time.Now().Add(limit); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, pollInterval) {
 		if done() {
 			return true
 		}
@@ -171,80 +171,80 @@
 }
 
 // checkHistory looks for acknowledged versions that the group has lost or that have another content.
-func (r *run) checkHistory(ctx context.Context) {
-	var answer operator.HistoryResponse
+func (r *seedRun) checkHistory(ctx context.Context) {
+	var response operator.HistoryResponse
 	read := func() bool {
 		var err error
-		answer, err = r.operator.History(ctx, operator.HistoryRequest{Limit: historyLimit})
+		response, err = r.operator.History(ctx, operator.HistoryRequest{Limit: historyLimit})
 		return err == nil
 	}
 	if !r.await(ctx, recoveryTimeout, read) {
-		r.seen.breach("the history was not readable within %v", recoveryTimeout)
+		r.recorder.reportViolation("the history was not readable within %v", recoveryTimeout)
 		return
 	}
-	for _, version := range lost(r.acknowledged, answer.Records) {
-		r.seen.breach("version %d was acknowledged and is lost", version)
+	for _, version := range lostVersions(r.acknowledged, response.Records) {
+		r.recorder.reportViolation("version %d was acknowledged and is lost", version)
 	}
 }
 
-// lost returns the acknowledged versions that no record of an approval with their digest confirms.
-func lost(acknowledged map[uint64]bundle.Digest, records []registry.HistoryRecord) []uint64 {
-	confirmed := make(map[uint64]bundle.Digest)
+// lostVersions returns the acknowledged versions that no record of an approval with their digest confirms.
+func lostVersions(acknowledged map[uint64]bundle.Digest, records []registry.HistoryRecord) []uint64 {
+	approved := make(map[uint64]bundle.Digest)
 	for _, record := range records {
 		if record.Action == registry.ActionApproved {
-			confirmed[record.Version] = record.Digest
+			approved[record.Version] = record.Digest
 		}
 	}
 	var missing []uint64
 	for _, version := range slices.Sorted(maps.Keys(acknowledged)) {
-		if confirmed[version] != acknowledged[version] {
+		if approved[version] != acknowledged[version] {
 			missing = append(missing, version)
 		}
 	}
 	return missing
 }
 
-// change approves the next version, and reports whether that was acknowledged. A version without an answer is sent again.
-func (r *run) change(ctx context.Context) bool {
-	if r.next == r.approved {
-		r.next++
+// approveNext approves the next version, and reports whether that was acknowledged. A version without an answer is sent again.
+func (r *seedRun) approveNext(ctx context.Context) bool {
+	if r.submitted == r.approved {
+		r.submitted++
 	}
-	update, err := bundle.Complete(configuration(r.next))
+	update, err := bundle.Complete(newBundle(r.submitted))
 	if err != nil {
-		r.seen.breach("the configuration cannot be split: %v", err)
+		r.recorder.reportViolation("the configuration cannot be split: %v", err)
 		return false
 	}
 	encoded, err := registry.EncodeUpdate(update)
 	if err != nil {
-		r.seen.breach("the configuration cannot be encoded: %v", err)
+		r.recorder.reportViolation("the configuration cannot be encoded: %v", err)
 		return false
 	}
-	id := fmt.Sprintf("change-%d", r.next)
+	id := fmt.Sprintf("change-%d", r.submitted)
 	_, err = r.operator.Stage(ctx, operator.StageRequest{
-		RequestID: id + "-stage", Operator: operatorName, Version: r.next, Digest: update.Target, Update: encoded,
+		RequestID: id + "-stage", Operator: operatorName, Version: r.submitted, Digest: update.Target, Update: encoded,
 	})
 	if err == nil {
-		approval := bundle.Approval{Version: r.next, Digest: update.Target, Operator: operatorName}
+		approval := bundle.Approval{Version: r.submitted, Digest: update.Target, Operator: operatorName}
 		_, err = r.operator.Approve(ctx, operator.ApproveRequest{
 			RequestID: id, Approval: bundle.Sign(r.deployment.key.Key, approval),
 		})
 	}
 	if err != nil {
-		if !r.waiting {
-			r.seen.note("version %d has no acknowledgement: %v", r.next, err)
+		if !r.unacknowledged {
+			r.recorder.logEvent("version %d has no acknowledgement: %v", r.submitted, err)
 		}
-		r.waiting = true
+		r.unacknowledged = true
 		return false
 	}
-	if r.waiting {
-		r.seen.note("version %d is acknowledged", r.next)
+	if r.unacknowledged {
+		r.recorder.logEvent("version %d is acknowledged", r.submitted)
 	}
-	r.approved, r.waiting = r.next, false
-	r.acknowledged[r.next] = update.Target
+	r.approved, r.unacknowledged = r.submitted, false
+	r.acknowledged[r.submitted] = update.Target
 	return true
 }
 
-func configuration(version uint64) *bundle.Bundle {
+func newBundle(version uint64) *bundle.Bundle {
 	route := func(name string, class bundle.Class, keyless bool) bundle.Route {
 		return bundle.Route{
 			Name: name, Match: bundle.Match{PathPrefix: "/" + name}, Service: service, Class: class, Keyless: keyless,
@@ -262,8 +262,8 @@
 	return b
 }
 
-// call sends requests through the nodes in turn, each with an attempt of its own.
-func (r *run) call(ctx context.Context, caller int) {
+// runCaller sends requests through the nodes in turn, each with an attempt of its own.
+func (r *seedRun) runCaller(ctx context.Context, caller int) {
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
@@ -272,15 +272,15 @@
 			kind, path = "p", "/promote"
 		}
 		node := r.deployment.nodes[(caller+n)%nodeCount]
-		r.send(ctx, client, node, path, fmt.Sprintf("%s-%d-%d", kind, caller, n))
-		pause(ctx, callPause)
+		r.sendCall(ctx, client, node, path, fmt.Sprintf("%s-%d-%d", kind, caller, n))
+		sleep(ctx, callInterval)
 	}
 }
 
-func (r *run) send(ctx context.Context, client *http.Client, node *program, path, attempt string) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node.callers+path, strings.NewReader(attempt))
+func (r *seedRun) sendCall(ctx context.Context, client *http.Client, node *process, path, attempt string) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node.callerAddress+path, strings.NewReader(attempt))
 	if err != nil {
-		r.seen.breach("request %s cannot be made: %v", attempt, err)
+		r.recorder.reportViolation("request %s cannot be made: %v", attempt, err)
 		return
 	}
 	request.Header.Set(headerAttempt, attempt)
@@ -294,24 +294,24 @@
 	if err != nil {
 		return // The answer is cut, and the caller knows it.
 	}
-	r.seen.answered(attempt, response, body)
+	r.recorder.responseReceived(attempt, response, body)
 }
 
-// watch checks that no process goes back to an earlier version.
-func (r *run) watch(ctx context.Context) {
+// watchVersions checks that no process goes back to an earlier version.
+func (r *seedRun) watchVersions(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, n := range r.deployment.nodes {
-			r.version(ctx, n)
+			r.observeVersion(ctx, n)
 		}
-		pause(ctx, lookPause)
+		sleep(ctx, pollInterval)
 	}
 }
 
-// version returns the version in force on a node; 0 if it does not answer.
-func (r *run) version(ctx context.Context, n *program) uint64 {
+// observeVersion returns the observeVersion in force on a node; 0 if it does not answer.
+func (r *seedRun) observeVersion(ctx context.Context, n *process) uint64 {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.admin+"/debug/dump", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.adminAddress+"/debug/dump", nil)
 	if err != nil {
 		return 0
 	}
@@ -326,29 +326,29 @@
 	if json.NewDecoder(response.Body).Decode(&dump) != nil {
 		return 0
 	}
-	life := fmt.Sprintf("%s/%d", n.name, dump.Incarnation)
+	instance := fmt.Sprintf("%s/%d", n.name, dump.Incarnation)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if dump.Version < r.inForce[life] {
-		r.seen.breach("%s went back from version %d to %d", n.name, r.inForce[life], dump.Version)
+	if dump.Version < r.inForce[instance] {
+		r.recorder.reportViolation("%s went back from version %d to %d", n.name, r.inForce[instance], dump.Version)
 	}
-	r.inForce[life] = max(r.inForce[life], dump.Version)
+	r.inForce[instance] = max(r.inForce[instance], dump.Version)
 	return dump.Version
 }
 
-func (r *run) allInForce(version uint64) bool {
+func (r *seedRun) allInForce(version uint64) bool {
 	for _, n := range r.deployment.nodes {
-		if r.version(context.Background(), n) < version {
+		if r.observeVersion(context.Background(), n) < version {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *run) versions() string {
+func (r *seedRun) describeVersions() string {
 	var list []string
 	for _, n := range r.deployment.nodes {
-		list = append(list, fmt.Sprintf("%s: %d", n.name, r.version(context.Background(), n)))
+		list = append(list, fmt.Sprintf("%s: %d", n.name, r.observeVersion(context.Background(), n)))
 	}
 	return fmt.Sprintf("approved %d; %s", r.approved, strings.Join(list, ", "))
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -23,36 +23,36 @@
 }
 
 var _ = Describe("the checker", func() {
-	answer := func(outcome string, status int) *http.Response {
+	response := func(outcome string, status int) *http.Response {
 		return &http.Response{StatusCode: status, Header: http.Header{headerOutcome: {outcome}}}
 	}
 
 	// Each promise is shown to be broken by a planted fault: a checker that cannot fail proves nothing.
 	It("finds an irreversible request that ran twice, but lets lookups run again", func() {
-		h := newHistory()
-		h.ran("l-1")
-		h.ran("l-1")
-		Expect(h.broken).To(BeEmpty())
-		h.ran("p-1")
-		h.ran("p-1")
-		Expect(h.broken).To(HaveLen(1))
+		h := newRecorder()
+		h.requestRan("l-1")
+		h.requestRan("l-1")
+		Expect(h.violations).To(BeEmpty())
+		h.requestRan("p-1")
+		h.requestRan("p-1")
+		Expect(h.violations).To(HaveLen(1))
 	})
 
 	It("finds a false 'not run', also when the request ran after its answer", func() {
-		h := newHistory()
-		h.answered("p-1", answer(outcomeNotRun, http.StatusServiceUnavailable), nil)
-		h.ran("p-1")
-		h.settle()
-		Expect(h.broken).To(HaveLen(1))
+		h := newRecorder()
+		h.responseReceived("p-1", response(outcomeNotRun, http.StatusServiceUnavailable), nil)
+		h.requestRan("p-1")
+		h.checkNotRun()
+		Expect(h.violations).To(HaveLen(1))
 	})
 
 	It("finds an answer that is cut or belongs to another request", func() {
-		h := newHistory()
-		h.answered("l-1", answer(outcomeDone, http.StatusOK), []byte(answerTo("l-1")))
-		Expect(h.broken).To(BeEmpty())
-		h.answered("l-2", answer(outcomeDone, http.StatusOK), []byte("answer to l-"))
-		h.answered("l-3", answer(outcomeDone, http.StatusOK), []byte(answerTo("l-4")))
-		Expect(h.broken).To(HaveLen(2))
+		h := newRecorder()
+		h.responseReceived("l-1", response(outcomeDone, http.StatusOK), []byte(responseBody("l-1")))
+		Expect(h.violations).To(BeEmpty())
+		h.responseReceived("l-2", response(outcomeDone, http.StatusOK), []byte("answer to l-"))
+		h.responseReceived("l-3", response(outcomeDone, http.StatusOK), []byte(responseBody("l-4")))
+		Expect(h.violations).To(HaveLen(2))
 	})
 })
 
@@ -62,8 +62,8 @@
 		records := []registry.HistoryRecord{
 			{Action: registry.ActionApproved, Version: 3, Digest: digest(9)}, {Action: registry.ActionApproved, Version: 1, Digest: digest(1)},
 		}
-		Expect(lost(map[uint64]bundle.Digest{1: digest(1)}, records)).To(BeEmpty())
-		Expect(lost(map[uint64]bundle.Digest{1: digest(1), 2: digest(2), 3: digest(3)}, records)).To(Equal([]uint64{2, 3}))
+		Expect(lostVersions(map[uint64]bundle.Digest{1: digest(1)}, records)).To(BeEmpty())
+		Expect(lostVersions(map[uint64]bundle.Digest{1: digest(1), 2: digest(2), 3: digest(3)}, records)).To(Equal([]uint64{2, 3}))
 	})
 })
 
@@ -96,9 +96,9 @@
 		first, err := net.Dial("tcp", p.address())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(echo(first)).To(Succeed())
-		p.set(linkFault{dropAnswers: true})
+		p.setFault(linkFault{dropResponses: true})
 		Expect(echo(first)).To(MatchError(ContainSubstring("timeout")))
-		p.set(linkFault{})
+		p.setFault(linkFault{})
 		Expect(echo(first)).To(MatchError(ContainSubstring("timeout")), "a stream that lost data stays broken")
 		second, err := net.Dial("tcp", p.address())
 		Expect(err).NotTo(HaveOccurred())
@@ -115,12 +115,12 @@
 		binary := filepath.Join(folder, "sapphiregate")
 		output, err := exec.Command("go", "build", "-o", binary, "sapphiregate.example/sapphiregate/cmd/sapphiregate").CombinedOutput()
 		Expect(err).NotTo(HaveOccurred(), string(output))
-		report, err := Run(context.Background(), Options{Binary: binary, Seed: 20261204, Faults: 5 * time.Second})
+		report, err := Run(context.Background(), Options{Binary: binary, Seed: 20261204, FaultDuration: 5 * time.Second})
 		Expect(err).NotTo(HaveOccurred())
 		for _, e := range report.Timeline {
 			GinkgoWriter.Printf("%7.3f s  %s\n", e.At.Seconds(), e.Text)
 		}
-		Expect(report.Broken).To(BeEmpty(), "logs: %s", report.Folder)
+		Expect(report.Violations).To(BeEmpty(), "logs: %s", report.Folder)
 		Expect(report.Served).To(BeNumerically(">", 0))
 	})
 })
