--- a/transport/shape/conn.go
+++ b/transport/shape/conn.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// idleReadBytes keeps the buffer of an idle connection small, because thousands of them are open at once.
+	// idleReadBytes is the size of the first read buffer. It is small because thousands of idle connections are open at
+	// once. A connection that fills it gets a buffer of busyReadBytes.
 	idleReadBytes = 1 << 10
 	busyReadBytes = 32 << 10
 )
 
-// conn shapes a connection. It has one goroutine, which stamps the arrival of incoming data; outgoing data is written
-// by short goroutines that exist only while data is due.
+// conn is a shaped connection. One goroutine reads from the raw connection and sets the arrival time of inbound data.
+// Outbound data is written by a goroutine that runs only while data is due.
 type conn struct {
 	network       *Network
 	raw           net.Conn
 	local, remote Endpoint
 
-	mu   sync.Mutex
-	cond *sync.Cond
-	in   *lane
-	out  *lane
-	// flushing is set while one goroutine writes to raw.
+	mu       sync.Mutex
+	cond     *sync.Cond
+	inbound  *direction
+	outbound *direction
+	// flushing is set while a goroutine writes to raw.
 	flushing      bool
 	closed        bool
 	reset         bool
@@ -34,9 +35,9 @@
 	writeDeadline deadline
 }
 
-// deadline wakes the waiters of a connection when it passes.
+// deadline is a read or write deadline. It wakes the waiting goroutines of a connection when it passes.
 type deadline struct {
-	at    time.Time
+	time  time.Time
 	timer *time.Timer
 }
 
@@ -44,13 +45,13 @@
 	if d.timer != nil {
 		d.timer.Stop()
 	}
-	d.at = at
+	d.time = at
 	if !at.IsZero() {
 		d.timer = time.AfterFunc(time.Until(at), wake)
 	}
 }
 
-func (d *deadline) passed() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
+func (d *deadline) passed() bool { return !d.time.IsZero() && !time.Now().Before(d.time) }
 
 func newConn(n *Network, raw net.Conn, local, remote Endpoint) *conn {
 	c := &conn{network: n, raw: raw, local: local, remote: remote}
@@ -68,19 +69,20 @@
 			return 0, net.ErrClosed
 		case c.readDeadline.passed():
 			return 0, os.ErrDeadlineExceeded
-		case c.arrived(c.in):
-			return c.take(p)
+		case c.headArrived(c.inbound):
+			return c.readQueued(p)
 		}
 		c.cond.Wait()
 	}
 }
 
-// arrived reports whether the head of the lane has passed the link.
-func (c *conn) arrived(l *lane) bool {
-	if len(l.queue) == 0 || time.Now().Before(l.queue[0].due) {
+// headArrived reports whether the first queued packet has arrived and no partition blocks it. If a partition drops
+// data, it discards the queue.
+func (c *conn) headArrived(l *direction) bool {
+	if len(l.queue) == 0 || time.Now().Before(l.queue[0].arrival) {
 		return false
 	}
-	switch c.network.settings.Load().cut(l.from, l.to) {
+	switch c.network.conditions.Load().cutMode(l.from, l.to) {
 	case CutHold:
 		return false
 	case CutDrop:
@@ -91,40 +93,41 @@
 	}
 }
 
-// take copies from the head of the incoming lane. The end of the stream stays in the lane.
-func (c *conn) take(p []byte) (int, error) {
-	head := &c.in.queue[0]
+// readQueued copies data from the first inbound packet. The end of the stream stays in the queue.
+func (c *conn) readQueued(p []byte) (int, error) {
+	head := &c.inbound.queue[0]
 	if head.err != nil {
 		return 0, head.err
 	}
 	n := copy(p, head.data)
 	head.data = head.data[n:]
-	c.in.bytes -= n
+	c.inbound.queuedBytes -= n
 	if len(head.data) == 0 {
-		c.in.pop()
+		c.inbound.pop()
 	}
-	c.schedule(c.in)
+	c.schedule(c.inbound)
 	c.cond.Broadcast()
 	return n, nil
 }
 
-// schedule wakes the lane's consumer when its head arrives.
-func (c *conn) schedule(l *lane) {
+// schedule wakes the reader of inbound data, or the writer of outbound data, when the first packet arrives.
+func (c *conn) schedule(l *direction) {
 	if len(l.queue) == 0 {
 		return
 	}
 	wake := c.wakeReader
-	if l == c.out {
+	if l == c.outbound {
 		wake = c.wakeWriter
 	}
-	if due := l.queue[0].due; due.After(time.Now()) {
-		c.network.clock.at(due, wake)
-	} else if l == c.out {
+	if due := l.queue[0].arrival; due.After(time.Now()) {
+		c.network.scheduler.schedule(due, wake)
+	} else if l == c.outbound {
 		c.startFlush()
 	}
 }
 
-// wakeReader takes the mutex so that a reader that is about to wait does not miss the wake-up.
+// wakeReader wakes all waiting goroutines. It locks the mutex so that a goroutine that is about to wait does not miss
+// the wake-up.
 func (c *conn) wakeReader() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,66 +140,70 @@
 	c.startFlush()
 }
 
-// startFlush writes what has arrived, on a goroutine because a full receiver blocks the write.
+// startFlush starts writing the outbound data that has arrived, on a goroutine because a slow receiver blocks the
+// write.
 func (c *conn) startFlush() {
-	if !c.flushing && c.arrived(c.out) {
+	if !c.flushing && c.headArrived(c.outbound) {
 		c.flushing = true
 		go c.flush()
 	}
 }
 
+// flush writes the outbound packets that have arrived to the raw connection, and closes it at the end of the stream.
 func (c *conn) flush() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.arrived(c.out) {
-		p := c.out.pop()
+	for c.headArrived(c.outbound) {
+		p := c.outbound.pop()
 		if p.err != nil {
-			c.shut()
+			c.closeRaw()
 			break
 		}
 		c.mu.Unlock()
 		_, err := c.raw.Write(p.data)
 		c.mu.Lock()
-		c.fail(err)
+		c.recordWriteError(err)
 		c.cond.Broadcast()
 	}
 	c.flushing = false
-	c.schedule(c.out)
+	c.schedule(c.outbound)
 }
 
-func (c *conn) fail(err error) {
+// recordWriteError keeps the first write error, which later writes return.
+func (c *conn) recordWriteError(err error) {
 	if err != nil && c.writeErr == nil {
 		c.writeErr = err
 	}
 }
 
-// Write implements net.Conn. It returns when the link has taken the data.
+// Write implements net.Conn. It returns when the data is queued for the link, or written if the link needs no queue.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.out.bytes >= laneBytes && c.writable() == nil {
+	for c.outbound.queuedBytes >= maxQueuedBytes && c.writeStatus() == nil {
 		c.cond.Wait()
 	}
-	if err := c.writable(); err != nil {
+	if err := c.writeStatus(); err != nil {
 		return 0, err
 	}
-	c.out.count.Add(int64(len(p)))
-	if c.out.silent {
+	c.outbound.sentBytes.Add(int64(len(p)))
+	if c.outbound.broken {
 		return len(p), nil
 	}
-	s := c.network.settings.Load()
-	due := c.out.due(time.Now(), s.link(c.local, c.remote), len(p))
-	if c.direct(s, due) {
+	s := c.network.conditions.Load()
+	due := c.outbound.arrivalTime(time.Now(), s.link(c.local, c.remote), len(p))
+	if c.canWriteDirectly(s, due) {
 		return c.writeDirect(p)
 	}
-	c.out.push(packet{data: append([]byte(nil), p...), due: due})
-	if len(c.out.queue) == 1 {
-		c.schedule(c.out)
+	c.outbound.push(packet{data: append([]byte(nil), p...), arrival: due})
+	if len(c.outbound.queue) == 1 {
+		c.schedule(c.outbound)
 	}
 	return len(p), nil
 }
 
-func (c *conn) writable() error {
+// writeStatus returns the error that a write must return now, if any.
+func (c *conn) writeStatus() error {
 	switch {
 	case c.closed:
 		return net.ErrClosed
@@ -209,32 +216,34 @@
 	}
 }
 
-// direct reports whether a write needs no queue: the link has no delay and nothing is ahead of it.
-func (c *conn) direct(s *settings, due time.Time) bool {
-	return len(c.out.queue) == 0 && !c.flushing && !due.After(time.Now()) && s.cut(c.local, c.remote) == 0
+// canWriteDirectly reports whether a write needs no queue: the link adds no delay, no earlier data is queued or being
+// written, and no partition blocks it.
+func (c *conn) canWriteDirectly(s *conditions, due time.Time) bool {
+	return len(c.outbound.queue) == 0 && !c.flushing && !due.After(time.Now()) && s.cutMode(c.local, c.remote) == 0
 }
 
+// writeDirect writes to the raw connection and unlocks the mutex meanwhile.
 func (c *conn) writeDirect(p []byte) (int, error) {
 	c.flushing = true
 	c.mu.Unlock()
 	n, err := c.raw.Write(p)
 	c.mu.Lock()
 	c.flushing = false
-	c.fail(err)
-	c.schedule(c.out)
+	c.recordWriteError(err)
+	c.schedule(c.outbound)
 	return n, err
 }
 
-// receive stamps incoming data with its arrival time until the connection ends.
-func (c *conn) receive() {
+// receiveLoop reads from the raw connection and queues the data until the connection ends.
+func (c *conn) receiveLoop() {
 	buffer := make([]byte, idleReadBytes)
 	for {
 		n, err := c.raw.Read(buffer)
 		if n > 0 {
-			c.accept(buffer[:n])
+			c.queueInbound(buffer[:n])
 		}
 		if err != nil {
-			c.finish(err)
+			c.queueEnd(err)
 			return
 		}
 		if n == len(buffer) && n < busyReadBytes {
@@ -243,53 +252,56 @@
 	}
 }
 
-func (c *conn) accept(data []byte) {
+// queueInbound queues received data. It waits while too much is queued.
+func (c *conn) queueInbound(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.in.bytes >= laneBytes && !c.closed {
+	for c.inbound.queuedBytes >= maxQueuedBytes && !c.closed {
 		c.cond.Wait()
 	}
-	c.in.count.Add(int64(len(data)))
-	c.arrive(packet{data: append([]byte(nil), data...)})
+	c.inbound.sentBytes.Add(int64(len(data)))
+	c.pushInbound(packet{data: append([]byte(nil), data...)})
 }
 
-// finish passes the end of the stream through the link, so that a partition hides it too.
-func (c *conn) finish(err error) {
+// queueEnd queues the end of the stream, so that the link delays it and a partition hides it.
+func (c *conn) queueEnd(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.arrive(packet{err: err})
+	c.pushInbound(packet{err: err})
 }
 
-func (c *conn) arrive(p packet) {
-	if c.closed || c.in.silent {
+// pushInbound sets the arrival time of a packet and queues it.
+func (c *conn) pushInbound(p packet) {
+	if c.closed || c.inbound.broken {
 		return
 	}
-	link := c.network.settings.Load().link(c.remote, c.local)
-	p.due = c.in.due(time.Now(), link, len(p.data))
-	c.in.push(p)
-	if len(c.in.queue) > 1 {
+	link := c.network.conditions.Load().link(c.remote, c.local)
+	p.arrival = c.inbound.arrivalTime(time.Now(), link, len(p.data))
+	c.inbound.push(p)
+	if len(c.inbound.queue) > 1 {
 		return
 	}
-	c.schedule(c.in)
+	c.schedule(c.inbound)
 	c.cond.Broadcast()
 }
 
-// resume continues after a partition healed. Held data arrives one delay later, as if retransmitted at once.
+// resume continues after a partition has healed. Held data arrives one link delay later, as if it were retransmitted at
+// once.
 func (c *conn) resume() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.network.settings.Load()
-	for _, l := range []*lane{c.in, c.out} {
-		if s.cut(l.from, l.to) != 0 || len(l.queue) == 0 || l.queue[0].due.After(time.Now()) {
+	s := c.network.conditions.Load()
+	for _, l := range []*direction{c.inbound, c.outbound} {
+		if s.cutMode(l.from, l.to) != 0 || len(l.queue) == 0 || l.queue[0].arrival.After(time.Now()) {
 			continue
 		}
-		l.postpone(time.Now().Add(s.link(l.from, l.to).Delay))
+		l.delayUntil(time.Now().Add(s.link(l.from, l.to).Delay))
 		c.schedule(l)
 	}
 	c.cond.Broadcast()
 }
 
-// Close implements net.Conn. The remote end sees it after the data in flight and after any partition.
+// Close implements net.Conn. The remote end sees the close after the data in flight, and after the end of a partition.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -297,21 +309,21 @@
 		return net.ErrClosed
 	}
 	c.closed = true
-	c.in.queue = nil
-	c.in.bytes = 0
+	c.inbound.queue = nil
+	c.inbound.queuedBytes = 0
 	c.cond.Broadcast()
-	if c.out.silent {
+	if c.outbound.broken {
 		return nil
 	}
-	link := c.network.settings.Load().link(c.local, c.remote)
-	c.out.push(packet{err: io.EOF, due: c.out.due(time.Now(), link, 0)})
-	if len(c.out.queue) == 1 {
-		c.schedule(c.out)
+	link := c.network.conditions.Load().link(c.local, c.remote)
+	c.outbound.push(packet{err: io.EOF, arrival: c.outbound.arrivalTime(time.Now(), link, 0)})
+	if len(c.outbound.queue) == 1 {
+		c.schedule(c.outbound)
 	}
 	return nil
 }
 
-// abort closes the connection with a reset, as the kernel does for a process that died.
+// abort closes the connection with a TCP reset, as the kernel does for a process that crashed.
 func (c *conn) abort() {
 	c.mu.Lock()
 	c.reset = true
@@ -319,22 +331,22 @@
 	_ = c.Close()
 }
 
-// shut ends the raw connection after the last data.
-func (c *conn) shut() {
+// closeRaw closes the raw connection, with a TCP reset after abort, and removes the connection from the network.
+func (c *conn) closeRaw() {
 	if tcp, ok := c.raw.(*net.TCPConn); ok && c.reset {
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.raw.Close()
-	go c.network.forget(c)
+	go c.network.removeConn(c)
 }
 
-// destroy closes both ends at once, regardless of delays and partitions.
+// destroy closes both ends immediately, without delay and despite partitions.
 func (c *conn) destroy() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 	c.cond.Broadcast()
-	c.shut()
+	c.closeRaw()
 }
 
 // LocalAddr implements net.Conn.
