--- a/soak/command.go
+++ b/soak/command.go
@@ -9,13 +9,14 @@
 	"github.com/spf13/cobra"
 )
 
-// ErrViolation reports that a seed broke a promise.
-var ErrViolation = errors.New("soak: a promise was broken")
+// ErrViolation reports that at least one seed violated a guarantee.
+var ErrViolation = errors.New("soak: a guarantee was violated")
 
-// regressionSeeds failed once, or recovered only just in time; docs/soak.md has the cause of each.
+// regressionSeeds are seeds that violated a guarantee before, or recovered only just within recoveryTimeout;
+// docs/soak.md has the cause of each.
 var regressionSeeds = []uint64{1, 201, 221, 225, 1102, 2113, 2208}
 
-// NewCommand returns the command that plays seeds.
+// NewCommand returns the command that runs one or more seeds and prints a report line for each.
 func NewCommand() *cobra.Command {
 	var options Options
 	var seedCount int
@@ -56,12 +57,13 @@
 	flags.StringVar(&options.Binary, "binary", "target/sapphiregate", "the daemon to run")
 	flags.Uint64Var(&options.Seed, "seed", uint64(time.Now().Unix()), "the first seed")
 	flags.IntVar(&seedCount, "seeds", 1, "number of seeds, one after another")
-	flags.DurationVar(&options.FaultDuration, "faults", 20*time.Second, "time for which each seed injects faults")
-	flags.BoolVar(&regressions, "regressions", false, "play the seeds that failed before instead")
-	flags.BoolVarP(&verbose, "verbose", "v", false, "print the timeline of every seed, not only of those that fail")
+	flags.DurationVar(&options.FaultDuration, "faults", 20*time.Second, "duration of the fault injection of each seed")
+	flags.BoolVar(&regressions, "regressions", false, "run the seeds that failed before instead of --seed and --seeds")
+	flags.BoolVarP(&verbose, "verbose", "v", false, "print the timeline of every seed, not only of those that violate a guarantee")
 	return command
 }
 
+// print writes the report line of a seed; the timeline follows if a guarantee was violated or verbose is set.
 func (r *Result) print(w io.Writer, verbose bool) {
 	result := "kept"
 	if len(r.Violations) > 0 {
--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -22,26 +22,29 @@
 	nodeCount   = 4
 	// stopTimeout bounds a planned stop; the nodes' drain timeout is 5 s.
 	stopTimeout = 10 * time.Second
-	// minSignalAge is the least age at which a process gets SIGTERM or SIGHUP. In the first milliseconds the Go runtime has not
-	// installed its handlers yet, and either signal ends the process.
+	// minSignalAge is the age of a process before which it is not sent SIGTERM or SIGHUP: until the Go runtime has
+	// installed its handlers, either signal terminates the process.
 	minSignalAge = 500 * time.Millisecond
 	operatorName = "soak"
 	service      = "desk"
 	keyringFile  = "keyring.json"
 )
 
-// process is one process of the deployment. It is started again with the same settings.
+// process is a control member or node that runs as an operating system process. Every start uses the same settings.
 type process struct {
-	name     string
+	name string
+	// role is the daemon's command: "control" or "node".
 	role     string
 	settings map[string]any
-	folder   string
-	binary   string
-	// dataFolder is the dataFolder folder of a member.
+	// folder holds the settings and log files of all processes of the seed.
+	folder string
+	binary string
+	// dataFolder is the data folder of a member.
 	dataFolder    string
 	callerAddress string
 	adminAddress  string
-	proxy         *proxy
+	// proxy carries all mesh traffic to the process.
+	proxy *proxy
 
 	mu      sync.Mutex
 	command *exec.Cmd
@@ -50,14 +53,15 @@
 	logFile *os.File
 }
 
-// host is where the processes of this soak listen. Outgoing connections come from 127.0.0.1 and other soaks use other
-// hosts, so that no port is taken while its process is down.
+// host is the loopback address on which the processes of this soak listen. It depends on the process id, so that
+// soaks that run at the same time rarely share it, and it is not the source address of outgoing connections
+// (127.0.0.1): neither takes a port of a process that is down.
 var host = fmt.Sprintf("127.%d.%d.1", 10+os.Getpid()%200, 1+os.Getpid()/200%250)
 
-// reservedAddresses holds the addresses that were handed out, whether a process listens there at present or not.
+// reservedAddresses holds all addresses that listen returned, whether a process listens there at present or not.
 var reservedAddresses sync.Map
 
-// listen opens a port of host that was not handed out before.
+// listen opens a port of host that is not reserved yet, and reserves it.
 func listen() (net.Listener, error) {
 	for {
 		listener, err := net.Listen("tcp", host+":0")
@@ -71,7 +75,7 @@
 	}
 }
 
-// freeAddress returns an address for a process to listen on.
+// freeAddress reserves an address for a process to listen on.
 func freeAddress() (string, error) {
 	listener, err := listen()
 	if err != nil {
@@ -81,13 +85,15 @@
 	return listener.Addr().String(), nil
 }
 
-// deployment is a group of members that manages itself, and nodes with an upstream each.
+// deployment is a self-managed group of control members, and nodes with one upstream each.
 type deployment struct {
 	members, nodes []*process
 	key            bundle.PrivateKey
 	upstreams      []*upstream
 }
 
+// newDeployment prepares the settings of all processes and starts the proxies and upstreams. Upstreams report to the
+// recorder.
 func newDeployment(binary, folder string, recorder *recorder) (*deployment, error) {
 	d := &deployment{}
 	var err error
@@ -162,7 +168,7 @@
 		"tls": map[string]any{"insecure": true}, "keyring": filepath.Join(folder, keyringFile),
 	}
 	if p.logFile, err = os.Create(filepath.Join(folder, name+".log")); err != nil {
-		return nil, errors.Wrap(err, "soak: create a log")
+		return nil, errors.Wrap(err, "soak: create a log file")
 	}
 	return p, nil
 }
@@ -180,7 +186,7 @@
 	return nil
 }
 
-// joinOnRestart makes further starts of members join the group instead of forming it.
+// joinOnRestart changes the members' settings so that a restarted member joins the group instead of forming a new one.
 func (d *deployment) joinOnRestart() {
 	for _, m := range d.members {
 		m.mu.Lock()
@@ -189,6 +195,7 @@
 	}
 }
 
+// close kills all processes and stops the proxies and upstreams.
 func (d *deployment) close() {
 	for _, p := range d.processes() {
 		p.resume()
@@ -201,6 +208,7 @@
 	}
 }
 
+// start writes the settings file and starts the process.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -219,28 +227,31 @@
 	}
 	p.started, p.exited = time.Now(), make(chan struct{})
 	go func(command *exec.Cmd, exited chan struct{}) {
-		_ = command.Wait() // The exit code is read from the state.
+		_ = command.Wait() // stop reads the exit code from ProcessState.
 		close(exited)
 	}(p.command, p.exited)
 	return nil
 }
 
+// signal sends a signal and returns a channel that is closed when the process has exited.
 func (p *process) signal(s syscall.Signal) chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.command.Process.Signal(s) // The process may have ended already.
+	_ = p.command.Process.Signal(s) // Fails if the process has exited already.
 	return p.exited
 }
 
+// kill terminates the process without a shutdown and waits until it has exited.
 func (p *process) kill() { <-p.signal(syscall.SIGKILL) }
 
 func (p *process) pause()  { p.signal(syscall.SIGSTOP) }
 func (p *process) resume() { p.signal(syscall.SIGCONT) }
 
-// awaitSignalHandlers waits until the process handles signals.
+// awaitSignalHandlers waits until the process is minSignalAge old.
 func (p *process) awaitSignalHandlers() { time.Sleep(time.Until(p.started.Add(minSignalAge))) }
 
-// stop ends the process as planned. It returns an error if that takes too long or the process reports a failure.
+// stop shuts the process down gracefully with SIGTERM. It returns an error if the process exits with a code other than
+// 0, or kills it and returns an error if it has not exited within stopTimeout.
 func (p *process) stop() error {
 	p.awaitSignalHandlers()
 	exited := p.signal(syscall.SIGTERM)
@@ -248,13 +259,15 @@
 	case <-exited:
 	case <-time.After(stopTimeout):
 		p.kill()
-		return errors.Newf("%s did not stop within %v", p.name, stopTimeout)
+		return errors.Newf("%s did not exit within %v of SIGTERM", p.name, stopTimeout)
 	}
 	if code := p.command.ProcessState.ExitCode(); code != 0 {
-		return errors.Newf("%s stopped with code %d", p.name, code)
+		return errors.Newf("%s exited with code %d after SIGTERM; 0 is expected", p.name, code)
 	}
 	return nil
 }
 
-// wipe empties a member's disk while the process is down.
-func (p *process) wipe() error { return errors.Wrap(os.RemoveAll(p.dataFolder), "soak: wipe a disk") }
+// wipe deletes a member's data folder. The process must be down.
+func (p *process) wipe() error {
+	return errors.Wrap(os.RemoveAll(p.dataFolder), "soak: delete a data folder")
+}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -8,23 +8,26 @@
 	"time"
 )
 
-// Bounds of the faults. They are longer than an election (1 s) and the silence after which calls go elsewhere, and short
-// enough for a seed of 20 s to have dozens.
+// Bounds of the schedule. Durations are drawn evenly between a minimum and the minimum plus its spread. Faults reach
+// beyond an election (1 s) and the time after which nodes avoid an instance that does not respond, and are short enough
+// for dozens of them in 20 s.
 const (
 	minFaultInterval    = 200 * time.Millisecond
 	faultIntervalSpread = 1000 * time.Millisecond
 	minFaultDuration    = 300 * time.Millisecond
 	faultDurationSpread = 2500 * time.Millisecond
 	maxLinkDelay        = 300 * time.Millisecond
-	// minWipeInterval is the least time between two lost disks. The group tolerates one at a time and repairs it within seconds.
+	// minWipeInterval separates two deletions of members' data. The group tolerates the loss of one member's data at a
+	// time, and restores it within seconds.
 	minWipeInterval = 8 * time.Second
 )
 
-// injector carries out a seeded schedule of faults. Faults of one process never overlap, those of different ones do.
+// injector injects a random schedule of faults. Faults of one process never overlap, those of different processes may.
 type injector struct {
-	deployment   *deployment
-	recorder     *recorder
-	rng          *rand.Rand
+	deployment *deployment
+	recorder   *recorder
+	rng        *rand.Rand
+	// locks serialize the faults of each process.
 	locks        map[*process]*sync.Mutex
 	lastWipe     time.Time
 	activeFaults sync.WaitGroup
@@ -41,7 +44,7 @@
 	return i
 }
 
-// run injects faults until the context ends, and returns once all of them have ended.
+// run injects faults until the context ends, and returns when the last of them is over.
 func (i *injector) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		i.startFault()
@@ -50,7 +53,8 @@
 	i.activeFaults.Wait()
 }
 
-// startFault starts one fault. All random numbers are drawn here, so that a seed gives one schedule.
+// startFault draws one fault and starts it. All random numbers are drawn here, in one goroutine, so that a seed always
+// draws the same ones.
 func (i *injector) startFault() {
 	all := i.deployment.processes()
 	target := all[i.rng.IntN(len(all))]
@@ -70,6 +74,7 @@
 	})
 }
 
+// inject carries out one fault and returns when it is over. The fault is one of 8 kinds; kind 7 is only for members.
 func (i *injector) inject(p *process, kind int, duration, delay time.Duration) {
 	switch kind {
 	case 0:
@@ -78,30 +83,31 @@
 		time.Sleep(duration)
 		i.restart(p)
 	case 1:
-		i.recorder.logEvent("%s is stopped as planned and started again", p.name)
+		i.recorder.logEvent("%s is stopped gracefully and started again", p.name)
 		if err := p.stop(); err != nil {
 			i.recorder.reportViolation("%v", err)
 		}
 		i.restart(p)
 	case 2:
 		i.recorder.logEvent("%s is paused for %v", p.name, duration)
-		p.awaitSignalHandlers() // A process that is paused while it starts handles no signal when it is resumed.
+		// If it were paused before its signal handlers are installed, a SIGTERM or SIGHUP after the pause would kill it.
+		p.awaitSignalHandlers()
 		p.pause()
 		time.Sleep(duration)
 		p.resume()
 	case 3:
-		i.injectLinkFault(p, duration, "falls silent", linkFault{dropRequests: true, dropResponses: true})
+		i.injectLinkFault(p, duration, "drops all data", linkFault{dropRequests: true, dropResponses: true})
 	case 4:
-		i.injectLinkFault(p, duration, "loses its answers", linkFault{dropResponses: true})
+		i.injectLinkFault(p, duration, "drops the responses", linkFault{dropResponses: true})
 	case 5:
 		i.injectLinkFault(p, duration, "is delayed by "+delay.String(), linkFault{delay: delay})
 	case 6:
-		i.recorder.logEvent("connections to %s are reset; its settings are read again", p.name)
+		i.recorder.logEvent("connections to %s are reset; it reloads its settings", p.name)
 		p.proxy.reset()
 		p.awaitSignalHandlers()
 		p.signal(syscall.SIGHUP)
 	case 7:
-		i.recorder.logEvent("%s loses its disk and is down for %v", p.name, duration)
+		i.recorder.logEvent("%s loses its data folder and is down for %v", p.name, duration)
 		p.kill()
 		if err := p.wipe(); err != nil {
 			i.recorder.reportViolation("%v", err)
@@ -111,6 +117,7 @@
 	}
 }
 
+// injectLinkFault applies a fault to the link of a process for the given duration; effect describes it in the timeline.
 func (i *injector) injectLinkFault(p *process, duration time.Duration, effect string, fault linkFault) {
 	i.recorder.logEvent("the link to %s %s for %v", p.name, effect, duration)
 	p.proxy.setFault(fault)
@@ -124,7 +131,7 @@
 	}
 }
 
-// sleep waits, or returns when the context ends.
+// sleep waits for the given time or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// proxyBuffer is the size of one read; delays apply to each.
+// proxyBuffer is the size of the read buffer in bytes; a delay applies to each read.
 const proxyBuffer = 32 << 10
 
-// linkFault is what a proxy does to the data that passes.
+// linkFault says how a proxy impairs the data that it forwards. The zero value is a healthy link.
 type linkFault struct {
-	// delay holds back data in both directions.
+	// delay applies to data in both directions.
 	delay time.Duration
-	// dropRequests and dropResponses swallow data to and from the target while connections stay open.
+	// dropRequests and dropResponses discard data to and from the target while connections stay open.
 	dropRequests, dropResponses bool
 }
 
-// proxy passes TCP connections on to one process and injects faults on the way.
+// proxy forwards TCP connections to one process and impairs them by the current fault.
 type proxy struct {
 	listener net.Listener
-	target   string
+	// target is the address of the process.
+	target string
 
 	mu    sync.Mutex
 	fault linkFault
@@ -53,7 +54,7 @@
 	defer client.Close()
 	target, err := net.Dial("tcp", p.target)
 	if err != nil {
-		return // The caller sees a closed connection, as of a process that is down.
+		return // The process is down. The client sees a closed connection.
 	}
 	defer target.Close()
 	p.track(client, target)
@@ -64,8 +65,8 @@
 	directions.Wait()
 }
 
-// forward copies data until either side ends. Data that is dropped once breaks the stream for good, as a cut of a link that
-// outlasts the retransmissions would, so that nothing is passed on afterwards.
+// forward copies data until either side closes. After the first dropped data it forwards nothing more on this stream,
+// also when the fault is over: a TCP stream cannot continue with a gap.
 func (p *proxy) forward(to, from net.Conn, isDropped func(linkFault) bool) {
 	defer to.Close()
 	buffer := make([]byte, proxyBuffer)
@@ -114,7 +115,7 @@
 	}
 }
 
-// reset closes all connections at once without a farewell.
+// reset closes all connections with a TCP reset.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,6 +127,7 @@
 	}
 }
 
+// close stops accepting connections and resets the open ones.
 func (p *proxy) close() {
 	_ = p.listener.Close()
 	p.reset()
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,5 +1,6 @@
-// Package soak runs the real programs as separate processes on loopback, injects faults from outside them by a seeded
-// schedule, and checks what callers, upstreams and operators see. See docs/soak.md.
+// Package soak tests the daemon under faults. It runs control members and nodes as separate processes on loopback,
+// kills, pauses and disconnects them by a random schedule that depends on a seed, and checks the guarantees that
+// callers, upstreams and operators rely on. See docs/soak.md.
 package soak
 
 import (
@@ -23,32 +24,35 @@
 )
 
 const (
-	// startTimeout bounds the forming of the group and the first version.
+	// startTimeout bounds the time until the group is formed and the first version is in force on all nodes.
 	startTimeout = 20 * time.Second
-	// recoveryTimeout is the promise for the time after the last fault: service is back and new versions are in force.
+	// recoveryTimeout is the guaranteed time after the last fault within which callers are served and a new version is
+	// in force on all nodes.
 	recoveryTimeout = 15 * time.Second
 	// callTimeout bounds one request of a caller.
-	callTimeout  = 3 * time.Second
-	callerCount  = 6
+	callTimeout = 3 * time.Second
+	callerCount = 6
+	// callInterval is the pause of a caller between a response and the next request.
 	callInterval = 25 * time.Millisecond
-	// changeInterval is the time between two changes of the configuration.
+	// changeInterval is the pause between two new versions of the configuration.
 	changeInterval = 700 * time.Millisecond
-	// historyLimit is more than the versions of the longest seed: 20 s of faults and 15 s of recovery at lookPause.
+	// historyLimit exceeds the number of versions of a seed with 20 s of faults and 15 s of recovery, even if every
+	// pollInterval had a new one.
 	historyLimit = 1000
-	// pollInterval is the time between two looks at the versions of the nodes.
+	// pollInterval is the pause between two polls of the nodes' versions.
 	pollInterval = 100 * time.Millisecond
 )
 
-// Options set up a run of one seed.
+// Options configure the run of one seed.
 type Options struct {
 	// Binary is the path of the daemon.
 	Binary string
 	Seed   uint64
-	// FaultDuration is the time for which faults are injected.
+	// FaultDuration is the time during which new faults are started.
 	FaultDuration time.Duration
 }
 
-// Result is the result of one seed.
+// Result is what the run of one seed observed.
 type Result struct {
 	Seed            uint64
 	Responses       int
@@ -57,11 +61,11 @@
 	Recovery        time.Duration
 	Violations      []string
 	Timeline        []event
-	// Folder holds the logs. It is removed if no promise was broken.
+	// Folder holds the logs and settings of the processes. It is removed if no guarantee was violated.
 	Folder string
 }
 
-// Run plays one seed. The error tells that the run could not be judged; broken promises are in the report.
+// Run runs one seed. Violated guarantees are in the result; an error means that the run could not be completed.
 func Run(ctx context.Context, options Options) (Result, error) {
 	folder, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", options.Seed))
 	if err != nil {
@@ -96,22 +100,25 @@
 	return report, nil
 }
 
-// seedRun is one seed in progress.
+// seedRun is the state of one running seed.
 type seedRun struct {
 	deployment *deployment
 	recorder   *recorder
 	operator   *operator.Client
-	// submitted and approved are the last version that was sent and the last one that was acknowledged.
+	// submitted is the last version that was sent to the group, and approved the last one whose approval the group
+	// acknowledged.
 	submitted, approved uint64
-	// acknowledged holds the digest of each acknowledged version.
+	// acknowledged holds the digest of each version whose approval the group acknowledged.
 	acknowledged map[uint64]bundle.Digest
-	// unacknowledged is set while the last version that was sent has no acknowledgement.
+	// unacknowledged is set from the first failed attempt to approve the submitted version until it succeeds.
 	unacknowledged bool
-	// inForce is the greatest version seen of each process, by name and life.
-	mu      sync.Mutex
+
+	mu sync.Mutex
+	// inForce holds the highest version observed on each node, by "name/incarnation": a restarted node begins anew.
 	inForce map[string]uint64
 }
 
+// connect creates the client of the operator API.
 func (r *seedRun) connect() error {
 	var addresses []string
 	for _, m := range r.deployment.members {
@@ -124,7 +131,8 @@
 	return errors.Wrap(err, "soak: connect to the operator API")
 }
 
-// injectAndRecover injects faults under load and returns the time to recover after the last one.
+// injectAndRecover injects faults while callers and an operator are active, and returns the time from the end of the
+// last fault until a new version is in force on all nodes and callers are served again.
 func (r *seedRun) injectAndRecover(ctx context.Context, options Options) time.Duration {
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	var background sync.WaitGroup
@@ -161,6 +169,7 @@
 	return recovery
 }
 
+// await polls until done returns true, and returns false if that takes longer than limit or the context ends.
 func (r *seedRun) await(ctx context.Context, limit time.Duration, done func() bool) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, pollInterval) {
 		if done() {
@@ -170,7 +179,7 @@
 	return false
 }
 
-// checkHistory looks for acknowledged versions that the group has lost or that have another content.
+// checkHistory checks that the group's history has each acknowledged version with its digest.
 func (r *seedRun) checkHistory(ctx context.Context) {
 	var response operator.HistoryResponse
 	read := func() bool {
@@ -187,7 +196,7 @@
 	}
 }
 
-// lostVersions returns the acknowledged versions that no record of an approval with their digest confirms.
+// lostVersions returns the acknowledged versions whose approval is not in the records or has another digest there.
 func lostVersions(acknowledged map[uint64]bundle.Digest, records []registry.HistoryRecord) []uint64 {
 	approved := make(map[uint64]bundle.Digest)
 	for _, record := range records {
@@ -204,7 +213,8 @@
 	return missing
 }
 
-// approveNext approves the next version, and reports whether that was acknowledged. A version without an answer is sent again.
+// approveNext stages and approves the next version, or again the submitted one if that was not acknowledged. It reports
+// whether the group acknowledged the approval.
 func (r *seedRun) approveNext(ctx context.Context) bool {
 	if r.submitted == r.approved {
 		r.submitted++
@@ -244,6 +254,7 @@
 	return true
 }
 
+// newBundle returns a configuration that differs between versions by the name of one route.
 func newBundle(version uint64) *bundle.Bundle {
 	route := func(name string, class bundle.Class, keyless bool) bundle.Route {
 		return bundle.Route{
@@ -262,7 +273,8 @@
 	return b
 }
 
-// runCaller sends requests through the nodes in turn, each with an attempt of its own.
+// runCaller sends requests to the nodes in turn, one in three to the irreversible route. Each has an identifier of its
+// own, its attempt, which begins with the kind of call.
 func (r *seedRun) runCaller(ctx context.Context, caller int) {
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -277,6 +289,7 @@
 	}
 }
 
+// sendCall sends one request and passes the response to the recorder.
 func (r *seedRun) sendCall(ctx context.Context, client *http.Client, node *process, path, attempt string) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node.callerAddress+path, strings.NewReader(attempt))
 	if err != nil {
@@ -284,20 +297,20 @@
 		return
 	}
 	request.Header.Set(headerAttempt, attempt)
-	request.GetBody = nil // The client itself must not send a request twice.
+	request.GetBody = nil // Without GetBody, net/http does not resend the request by itself after a broken connection.
 	response, err := client.Do(request)
 	if err != nil {
-		return // The node is down or paused; what its upstream saw still counts.
+		return // The node is down or paused. If the request ran, the upstream has recorded that.
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return // The answer is cut, and the caller knows it.
+		return // The response is truncated, and the caller can tell: no guarantee is violated.
 	}
 	r.recorder.responseReceived(attempt, response, body)
 }
 
-// watchVersions checks that no process goes back to an earlier version.
+// watchVersions polls the versions of all nodes until the context ends.
 func (r *seedRun) watchVersions(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, n := range r.deployment.nodes {
@@ -307,7 +320,8 @@
 	}
 }
 
-// observeVersion returns the observeVersion in force on a node; 0 if it does not answer.
+// observeVersion returns the version in force on a node, or 0 if the node does not respond. A version lower than one
+// observed before on the same incarnation of the node is a violation.
 func (r *seedRun) observeVersion(ctx context.Context, n *process) uint64 {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -22,13 +22,13 @@
 	RunSpecs(t, "soak")
 }
 
-var _ = Describe("the checker", func() {
+var _ = Describe("the recorder", func() {
 	response := func(outcome string, status int) *http.Response {
 		return &http.Response{StatusCode: status, Header: http.Header{headerOutcome: {outcome}}}
 	}
 
-	// Each promise is shown to be broken by a planted fault: a checker that cannot fail proves nothing.
-	It("finds an irreversible request that ran twice, but lets lookups run again", func() {
+	// Guard against a recorder that misses violations, with which every seed would pass.
+	It("reports an irreversible request that ran twice, but not a lookup that did", func() {
 		h := newRecorder()
 		h.requestRan("l-1")
 		h.requestRan("l-1")
@@ -38,7 +38,7 @@
 		Expect(h.violations).To(HaveLen(1))
 	})
 
-	It("finds a false 'not run', also when the request ran after its answer", func() {
+	It("reports a request that ran after its response said that it had not", func() {
 		h := newRecorder()
 		h.responseReceived("p-1", response(outcomeNotRun, http.StatusServiceUnavailable), nil)
 		h.requestRan("p-1")
@@ -46,7 +46,7 @@
 		Expect(h.violations).To(HaveLen(1))
 	})
 
-	It("finds an answer that is cut or belongs to another request", func() {
+	It("reports a response that is truncated or belongs to another request", func() {
 		h := newRecorder()
 		h.responseReceived("l-1", response(outcomeDone, http.StatusOK), []byte(responseBody("l-1")))
 		Expect(h.violations).To(BeEmpty())
@@ -57,7 +57,7 @@
 })
 
 var _ = Describe("the check of the history", func() {
-	It("finds an acknowledged version that is missing or has another content", func() {
+	It("finds an acknowledged version that is missing or has another digest", func() {
 		digest := func(b byte) bundle.Digest { return bundle.Digest{b} }
 		records := []registry.HistoryRecord{
 			{Action: registry.ActionApproved, Version: 3, Digest: digest(9)}, {Action: registry.ActionApproved, Version: 1, Digest: digest(1)},
@@ -68,8 +68,8 @@
 })
 
 var _ = Describe("the proxy", func() {
-	// Guards against faults that are not injected.
-	It("passes data on, swallows it in one direction, and resets", func() {
+	// Guards against a proxy that injects no faults, with which every seed would pass.
+	It("forwards data, drops it in one direction, and resets connections", func() {
 		target, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(target.Close)
@@ -99,7 +99,7 @@
 		p.setFault(linkFault{dropResponses: true})
 		Expect(echo(first)).To(MatchError(ContainSubstring("timeout")))
 		p.setFault(linkFault{})
-		Expect(echo(first)).To(MatchError(ContainSubstring("timeout")), "a stream that lost data stays broken")
+		Expect(echo(first)).To(MatchError(ContainSubstring("timeout")), "a stream that lost data must not continue")
 		second, err := net.Dial("tcp", p.address())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(echo(second)).To(Succeed())
@@ -109,8 +109,8 @@
 	})
 })
 
-var _ = Describe("the programs", func() {
-	It("keep the promises for a short seed", func() {
+var _ = Describe("the daemon", func() {
+	It("violates no guarantee in a seed with 5 s of faults", func() {
 		folder := GinkgoT().TempDir()
 		binary := filepath.Join(folder, "sapphiregate")
 		output, err := exec.Command("go", "build", "-o", binary, "sapphiregate.example/sapphiregate/cmd/sapphiregate").CombinedOutput()
