--- a/local/local.go
+++ b/local/local.go
@@ -44,8 +44,8 @@
 // kindLedger labels the traffic of irreversible calls' records, which is no configuration traffic.
 const kindLedger shape.Kind = "ledger"
 
-// pollPause is the time between two looks at a condition that a caller waits for.
-const pollPause = 5 * time.Millisecond
+// pollInterval is the time between two looks at a condition that a caller waits for.
+const pollInterval = 5 * time.Millisecond
 
 // Options adds to an experiment.Spec what only this implementation knows.
 type Options struct {
@@ -64,30 +64,30 @@
 	addresses *loopback.Addresses
 	keyring   *bundle.Keyring
 
-	mu      sync.Mutex
-	members map[string]*memberSlot
-	nodes   map[string]*nodeSlot
-	order   []string
-	spares  int
+	mu           sync.Mutex
+	members      map[string]*memberInstance
+	nodes        map[string]*nodeInstance
+	memberOrder  []string
+	replacements int
 }
 
 var _ experiment.Deployment = (*Deployment)(nil)
 
-// memberSlot is the instance of a control member.
-type memberSlot struct {
+// memberInstance is the instance of a control member.
+type memberInstance struct {
 	spec   experiment.MemberSpec
 	ip     string
 	folder string
-	// added tells that the member joined an existing group.
-	added   bool
-	running *control.Member
+	// joinsGroup tells that the member joined an existing group.
+	joinsGroup bool
+	running    *control.Member
 }
 
-func (s *memberSlot) mesh() string  { return loopback.WithPort(s.ip, loopback.PortMesh) }
-func (s *memberSlot) admin() string { return loopback.WithPort(s.ip, loopback.PortAdmin) }
+func (s *memberInstance) mesh() string  { return loopback.WithPort(s.ip, loopback.PortMesh) }
+func (s *memberInstance) admin() string { return loopback.WithPort(s.ip, loopback.PortAdmin) }
 
-// nodeSlot is the instance of a node.
-type nodeSlot struct {
+// nodeInstance is the instance of a node.
+type nodeInstance struct {
 	spec    experiment.NodeSpec
 	ip      string
 	running *node.Node
@@ -108,16 +108,16 @@
 		NetworkFaults: experiment.NetworkFaults{Network: spec.Network},
 
 		spec: spec, options: options, addresses: addresses, keyring: bundle.NewKeyring(keys),
-		members: make(map[string]*memberSlot), nodes: make(map[string]*nodeSlot),
+		members: make(map[string]*memberInstance), nodes: make(map[string]*nodeInstance),
 	}
 	for _, member := range spec.Members {
 		d.addMember(member)
 	}
 	for _, described := range spec.Nodes {
-		slot := &nodeSlot{spec: described, ip: addresses.Take()}
-		d.nodes[described.ID] = slot
+		instance := &nodeInstance{spec: described, ip: addresses.Next()}
+		d.nodes[described.ID] = instance
 		for _, port := range []int{loopback.PortCallers, loopback.PortMesh, loopback.PortAdmin} {
-			d.register(loopback.WithPort(slot.ip, port), described.Zone, described.ID)
+			d.register(loopback.WithPort(instance.ip, port), described.Zone, described.ID)
 		}
 	}
 	return d, nil
@@ -136,13 +136,13 @@
 	return New(spec, Options{Logger: logger})
 }
 
-func (d *Deployment) addMember(spec experiment.MemberSpec) *memberSlot {
-	slot := &memberSlot{spec: spec, ip: d.addresses.Take(), folder: filepath.Join(d.spec.DataFolder, spec.ID)}
-	d.members[spec.ID] = slot
-	d.order = append(d.order, spec.ID)
-	d.register(slot.mesh(), spec.Zone, spec.ID)
-	d.register(slot.admin(), spec.Zone, spec.ID)
-	return slot
+func (d *Deployment) addMember(spec experiment.MemberSpec) *memberInstance {
+	instance := &memberInstance{spec: spec, ip: d.addresses.Next(), folder: filepath.Join(d.spec.DataFolder, spec.ID)}
+	d.members[spec.ID] = instance
+	d.memberOrder = append(d.memberOrder, spec.ID)
+	d.register(instance.mesh(), spec.Zone, spec.ID)
+	d.register(instance.admin(), spec.Zone, spec.ID)
+	return instance
 }
 
 func (d *Deployment) register(address, zone, process string) {
@@ -151,7 +151,7 @@
 
 // Start starts all processes and returns when the first bundle is in force on every node.
 func (d *Deployment) Start(ctx context.Context) error {
-	for _, id := range d.order {
+	for _, id := range d.memberOrder {
 		if err := d.StartMember(ctx, id); err != nil {
 			return err
 		}
@@ -224,7 +224,7 @@
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(pollPause):
+	case <-time.After(pollInterval):
 		return nil
 	}
 }
@@ -233,16 +233,16 @@
 func (d *Deployment) Close() error {
 	d.mu.Lock()
 	var running []interface{ Kill() }
-	for _, slot := range d.nodes {
-		if slot.running != nil {
-			running = append(running, slot.running)
-			slot.running = nil
+	for _, instance := range d.nodes {
+		if instance.running != nil {
+			running = append(running, instance.running)
+			instance.running = nil
 		}
 	}
-	for _, slot := range d.members {
-		if slot.running != nil {
-			running = append(running, slot.running)
-			slot.running = nil
+	for _, instance := range d.members {
+		if instance.running != nil {
+			running = append(running, instance.running)
+			instance.running = nil
 		}
 	}
 	d.mu.Unlock()
@@ -259,11 +259,11 @@
 func (d *Deployment) Address(id string) experiment.NodeAddress {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	slot := d.nodes[id]
-	if slot == nil {
+	instance := d.nodes[id]
+	if instance == nil {
 		return experiment.NodeAddress{}
 	}
-	return experiment.NodeAddress{HTTP: loopback.WithPort(slot.ip, loopback.PortCallers), Admin: loopback.WithPort(slot.ip, loopback.PortAdmin)}
+	return experiment.NodeAddress{HTTP: loopback.WithPort(instance.ip, loopback.PortCallers), Admin: loopback.WithPort(instance.ip, loopback.PortAdmin)}
 }
 
 // AdminAddresses returns the operator API addresses of the members.
@@ -271,7 +271,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var list []string
-	for _, id := range d.order {
+	for _, id := range d.memberOrder {
 		list = append(list, d.members[id].admin())
 	}
 	return list
@@ -281,21 +281,21 @@
 func (d *Deployment) Members() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]string(nil), d.order...)
+	return append([]string(nil), d.memberOrder...)
 }
 
 // meshAddresses lists the members' addresses, those of the given zone first. The lock is held.
 func (d *Deployment) meshAddresses(zone string) []string {
-	var near, far []string
-	for _, id := range d.order {
-		slot := d.members[id]
-		if slot.spec.Zone == zone {
-			near = append(near, slot.mesh())
+	var sameZone, otherZones []string
+	for _, id := range d.memberOrder {
+		instance := d.members[id]
+		if instance.spec.Zone == zone {
+			sameZone = append(sameZone, instance.mesh())
 		} else {
-			far = append(far, slot.mesh())
+			otherZones = append(otherZones, instance.mesh())
 		}
 	}
-	return append(near, far...)
+	return append(sameZone, otherZones...)
 }
 
 func (d *Deployment) dialer(zone, process string, kind shape.Kind) rpc.Dialer {
@@ -306,17 +306,17 @@
 // operatorClient returns a client of one member. Operators sit beside the member that they talk to.
 func (d *Deployment) operatorClient(member string) (*operator.Client, error) {
 	d.mu.Lock()
-	slot := d.members[member]
+	instance := d.members[member]
 	d.mu.Unlock()
-	if slot == nil {
+	if instance == nil {
 		return nil, errors.Wrapf(ErrUnknownProcess, "%s", member)
 	}
 	return operator.NewClient(operator.ClientConfig{
-		Addresses: []string{slot.admin()}, Rounds: 1, Rand: rand.New(rand.NewSource(d.spec.Seed)),
+		Addresses: []string{instance.admin()}, Rounds: 1, Rand: rand.New(rand.NewSource(d.spec.Seed)),
 	})
 }
 
-func (d *Deployment) signed(approval bundle.Approval) bundle.Approval {
+func (d *Deployment) ensureSigned(approval bundle.Approval) bundle.Approval {
 	if len(approval.Signature) > 0 {
 		return approval
 	}
@@ -341,7 +341,7 @@
 		RequestID: operator.NewRequestID(), Operator: signed.Approval.Operator, Version: signed.Approval.Version,
 		Digest: update.Target, Update: encoded,
 	})
-	return verdictOf(err)
+	return verdictFromError(err)
 }
 
 // Approve submits the approval of a staged bundle.
@@ -351,13 +351,13 @@
 		return experiment.Verdict{}, err
 	}
 	_, err = client.Approve(ctx, operator.ApproveRequest{
-		RequestID: operator.NewRequestID(), Approval: d.signed(signed.Approval),
+		RequestID: operator.NewRequestID(), Approval: d.ensureSigned(signed.Approval),
 	})
-	return verdictOf(err)
+	return verdictFromError(err)
 }
 
-// verdictOf tells a refusal, which is final, from a lost answer.
-func verdictOf(err error) (experiment.Verdict, error) {
+// verdictFromError tells a refusal, which is final, from a lost answer.
+func verdictFromError(err error) (experiment.Verdict, error) {
 	var refusal *operator.Error
 	switch {
 	case err == nil:
@@ -378,9 +378,9 @@
 func (d *Deployment) InForce(id string) (experiment.Applied, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	slot := d.nodes[id]
-	if slot == nil || slot.running == nil || slot.applied.Version == 0 {
+	instance := d.nodes[id]
+	if instance == nil || instance.running == nil || instance.applied.Version == 0 {
 		return experiment.Applied{}, false
 	}
-	return slot.applied, true
+	return instance.applied, true
 }
--- a/local/loopback/loopback.go
+++ b/local/loopback/loopback.go
@@ -21,14 +21,14 @@
 
 const (
 	// networkAttempts bounds the search for a loopback network that no other deployment uses.
-	networkAttempts  = 50
-	firstNetwork     = 10
-	networks         = 200
-	addressesPerByte = 254
+	networkAttempts = 50
+	firstNetwork    = 10
+	networkCount    = 200
+	hostsPerByte    = 254
 )
 
-// listenPause is the time between two attempts to open a port.
-const listenPause = 5 * time.Millisecond
+// retryInterval is the time between two attempts to open a port.
+const retryInterval = 5 * time.Millisecond
 
 // Addresses hands out loopback addresses 127.N.x.y of one network N. It is not safe for concurrent use.
 type Addresses struct {
@@ -40,7 +40,7 @@
 // New takes a free network. The listener on its first address keeps other deployments away.
 func New() (*Addresses, error) {
 	for range networkAttempts {
-		network := firstNetwork + rand.IntN(networks)
+		network := firstNetwork + rand.IntN(networkCount)
 		guard, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", network, PortAdmin))
 		if err == nil {
 			return &Addresses{network: network, next: 1, guard: guard}, nil
@@ -49,10 +49,10 @@
 	return nil, errors.New("loopback: no free loopback network")
 }
 
-// Take returns the next address.
-func (a *Addresses) Take() string {
+// Next returns the next address.
+func (a *Addresses) Next() string {
 	a.next++
-	return fmt.Sprintf("127.%d.%d.%d", a.network, a.next/addressesPerByte, a.next%addressesPerByte+1)
+	return fmt.Sprintf("127.%d.%d.%d", a.network, a.next/hostsPerByte, a.next%hostsPerByte+1)
 }
 
 // Release gives the network back.
@@ -86,7 +86,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, errors.Wrapf(err, "loopback: listen on %s", address)
-		case <-time.After(listenPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
--- a/local/naive/call.go
+++ b/local/naive/call.go
@@ -23,13 +23,13 @@
 	maxCallBytes = 1 << 20
 )
 
-// answer is an upstream's whole answer.
-type answer struct {
+// upstreamResponse is an upstream's whole upstreamResponse.
+type upstreamResponse struct {
 	status int
 	header http.Header
 	body   []byte
-	// elsewhere is the time outside the proxy: in the upstream and on the links between zones.
-	elsewhere time.Duration
+	// externalTime is the time outside the proxy: in the upstream and on the links between zones.
+	externalTime time.Duration
 }
 
 // serveCall forwards a caller's request.
@@ -54,10 +54,10 @@
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), started.Add(timeLeft(r, route)))
 	defer cancel()
-	received, known := p.attempt(ctx, r, route, body)
+	received, known := p.forwardWithRetries(ctx, r, route, body)
 	switch {
 	case received != nil:
-		writeAnswer(w, received, time.Since(started)-received.elsewhere)
+		writeResponse(w, received, time.Since(started)-received.externalTime)
 	case !known:
 		refuse(w, protocol.OutcomeNotRun, protocol.ReasonNoUpstream, http.StatusServiceUnavailable)
 	case ctx.Err() != nil:
@@ -77,15 +77,15 @@
 	return min(left, time.Duration(milliseconds)*time.Millisecond)
 }
 
-// attempt tries upstreams in turn. Failures and answers with status 503 of idempotent calls are retried. It returns no
+// forwardWithRetries tries upstreams in turn. Failures and answers with status 503 of idempotent calls are retried. It returns no
 // answer if all attempts failed; known tells whether any upstream was known.
-func (p *proxy) attempt(ctx context.Context, r *http.Request, route *routing.Route, body []byte) (received *answer, known bool) {
+func (p *proxy) forwardWithRetries(ctx context.Context, r *http.Request, route *routing.Route, body []byte) (received *upstreamResponse, known bool) {
 	attempts := maxAttempts
 	if route.Class == bundle.ClassIrreversible {
 		attempts = 1
 	}
 	for range attempts {
-		target, ok := p.next(route.Service)
+		target, ok := p.nextUpstream(route.Service)
 		if !ok {
 			return nil, known
 		}
@@ -107,7 +107,7 @@
 
 func (p *proxy) forward(
 	ctx context.Context, r *http.Request, route *routing.Route, target upstream, body []byte,
-) (*answer, error) {
+) (*upstreamResponse, error) {
 	var timing timing
 	url := "http://" + target.Address + r.URL.RequestURI()
 	request, err := http.NewRequestWithContext(timing.trace(ctx), r.Method, url, nil)
@@ -137,51 +137,51 @@
 	if err != nil {
 		return nil, err
 	}
-	received := &answer{status: response.StatusCode, header: web.CopyHeader(response.Header), body: content}
-	received.elsewhere = timing.elsewhere()
-	if timing.opened() && target.Zone != p.options.spec.Zone {
+	received := &upstreamResponse{status: response.StatusCode, header: web.CopyHeader(response.Header), body: content}
+	received.externalTime = timing.timeToFirstByte()
+	if timing.usedNewConnection() && target.Zone != p.options.spec.Zone {
 		// Opening a connection takes one round trip between the zones.
-		received.elsewhere += 2 * p.options.zoneDelay
+		received.externalTime += 2 * p.options.zoneDelay
 	}
 	return received, nil
 }
 
 // timing measures one attempt. The transport calls the hooks from other goroutines.
 type timing struct {
-	mu             sync.Mutex
-	written, first time.Time
-	fresh          bool
+	mu                        sync.Mutex
+	requestWritten, firstByte time.Time
+	newConnection             bool
 }
 
 func (t *timing) trace(ctx context.Context) context.Context {
-	note := func(change func()) {
+	locked := func(change func()) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		change()
 	}
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn:              func(info httptrace.GotConnInfo) { note(func() { t.fresh = !info.Reused }) },
-		WroteRequest:         func(httptrace.WroteRequestInfo) { note(func() { t.written = time.Now() }) },
-		GotFirstResponseByte: func() { note(func() { t.first = time.Now() }) },
+		GotConn:              func(info httptrace.GotConnInfo) { locked(func() { t.newConnection = !info.Reused }) },
+		WroteRequest:         func(httptrace.WroteRequestInfo) { locked(func() { t.requestWritten = time.Now() }) },
+		GotFirstResponseByte: func() { locked(func() { t.firstByte = time.Now() }) },
 	})
 }
 
-// elsewhere is the time from the written request to the first byte of the answer. An upstream may answer before the
+// timeToFirstByte is the time from the written request to the first byte of the answer. An upstream may answer before the
 // whole request was written.
-func (t *timing) elsewhere() time.Duration {
+func (t *timing) timeToFirstByte() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(t.first.Sub(t.written), 0)
+	return max(t.firstByte.Sub(t.requestWritten), 0)
 }
 
-// opened reports whether the attempt used a new connection.
-func (t *timing) opened() bool {
+// usedNewConnection reports whether the attempt used a new connection.
+func (t *timing) usedNewConnection() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fresh
+	return t.newConnection
 }
 
-func writeAnswer(w http.ResponseWriter, received *answer, added time.Duration) {
+func writeResponse(w http.ResponseWriter, received *upstreamResponse, added time.Duration) {
 	header := w.Header()
 	for name, values := range received.header {
 		header[name] = values
--- a/local/naive/controller.go
+++ b/local/naive/controller.go
@@ -14,8 +14,8 @@
 	"sapphiregate.example/sapphiregate/transport/shape"
 )
 
-// release is an approved bundle as it is pushed.
-type release struct {
+// approvedBundle is an approved bundle as it is pushed.
+type approvedBundle struct {
 	Approval bundle.Approval `json:"approval"`
 	Bundle   *bundle.Bundle  `json:"bundle"`
 }
@@ -42,17 +42,17 @@
 	*process
 	keys *bundle.Keyring
 
-	mu         sync.Mutex
-	latest     release
-	held       map[string]uint64
-	heartbeats map[string]heartbeat
-	wake       map[string]chan struct{}
+	mu                sync.Mutex
+	latest            approvedBundle
+	confirmedVersions map[string]uint64
+	heartbeats        map[string]heartbeat
+	wake              map[string]chan struct{}
 }
 
 // startController starts the control process, which pushes to the proxies at the given administration addresses.
 func startController(listener net.Listener, dial shape.DialFunc, keys *bundle.Keyring, proxies []string) *controller {
 	c := &controller{
-		process: newProcess(dial), keys: keys, held: make(map[string]uint64),
+		process: newProcess(dial), keys: keys, confirmedVersions: make(map[string]uint64),
 		heartbeats: make(map[string]heartbeat), wake: make(map[string]chan struct{}),
 	}
 	for _, proxy := range proxies {
@@ -68,8 +68,8 @@
 }
 
 func (c *controller) serveApprove(w http.ResponseWriter, r *http.Request) {
-	var offered release
-	if !receive(w, r, &offered) {
+	var offered approvedBundle
+	if !decodeJSON(w, r, &offered) {
 		return
 	}
 	// An operator that is gone resends and gets the same verdict.
@@ -77,7 +77,7 @@
 }
 
 // approve takes a valid bundle with a greater version as the latest one and pushes it.
-func (c *controller) approve(offered release) experiment.Verdict {
+func (c *controller) approve(offered approvedBundle) experiment.Verdict {
 	if err := c.keys.Verify(offered.Approval); err != nil {
 		return experiment.Verdict{Reason: err.Error()}
 	}
@@ -114,14 +114,14 @@
 
 func (c *controller) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
 	var received heartbeat
-	if !receive(w, r, &received) {
+	if !decodeJSON(w, r, &received) {
 		return
 	}
 	received.at = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.heartbeats[received.Admin] = received
-	c.held[received.Admin] = received.Version
+	c.confirmedVersions[received.Admin] = received.Version
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -129,22 +129,22 @@
 // what failed.
 func (c *controller) push(proxy string) {
 	c.mu.Lock()
-	latest, held, upstreams := c.latest, c.held[proxy], c.upstreams()
+	latest, confirmed, upstreams := c.latest, c.confirmedVersions[proxy], c.upstreams()
 	c.mu.Unlock()
 	version := latest.Approval.Version
-	if held < version && send(c.ctx, c.client, http.MethodPut, "http://"+proxy+pathBundle, latest, nil) == nil {
+	if confirmed < version && sendJSON(c.ctx, c.client, http.MethodPut, "http://"+proxy+pathBundle, latest, nil) == nil {
 		c.mu.Lock()
-		c.held[proxy] = version
+		c.confirmedVersions[proxy] = version
 		c.mu.Unlock()
 	}
-	_ = send(c.ctx, c.client, http.MethodPut, "http://"+proxy+pathUpstreams, upstreams, nil)
+	_ = sendJSON(c.ctx, c.client, http.MethodPut, "http://"+proxy+pathUpstreams, upstreams, nil)
 }
 
 // upstreams returns what the proxies reported lately, in a stable order. The lock is held.
 func (c *controller) upstreams() []upstream {
 	list := []upstream{}
 	for _, received := range c.heartbeats {
-		if received.Upstream != nil && time.Since(received.at) < expiry {
+		if received.Upstream != nil && time.Since(received.at) < maxReportAge {
 			list = append(list, *received.Upstream)
 		}
 	}
--- a/local/naive/naive.go
+++ b/local/naive/naive.go
@@ -31,8 +31,8 @@
 	// kindOperator labels the traffic between an operator and the control process beside it, which is no configuration
 	// traffic.
 	kindOperator shape.Kind = "operator"
-	// pollPause is the time between two looks at a condition that a caller waits for.
-	pollPause = 5 * time.Millisecond
+	// pollInterval is the time between two looks at a condition that a caller waits for.
+	pollInterval = 5 * time.Millisecond
 )
 
 // member is the instance of a control member. Only the first member runs the control process; the others merely stand
@@ -43,14 +43,14 @@
 	control *controller
 }
 
-// instance is the instance of a node.
-type instance struct {
+// nodeInstance is the nodeInstance of a node.
+type nodeInstance struct {
 	spec    experiment.NodeSpec
 	ip      string
 	running *proxy
 }
 
-func (i *instance) admin() string { return loopback.WithPort(i.ip, loopback.PortAdmin) }
+func (i *nodeInstance) admin() string { return loopback.WithPort(i.ip, loopback.PortAdmin) }
 
 // Deployment implements experiment.Deployment.
 type Deployment struct {
@@ -60,11 +60,11 @@
 	addresses *loopback.Addresses
 	keyring   *bundle.Keyring
 	controlIP string
-	nodes     map[string]*instance
+	nodes     map[string]*nodeInstance
 
-	mu       sync.Mutex
-	members  []*member
-	replaced int
+	mu           sync.Mutex
+	members      []*member
+	replacements int
 }
 
 var _ experiment.Deployment = (*Deployment)(nil)
@@ -82,19 +82,19 @@
 	d := &Deployment{
 		NetworkFaults: experiment.NetworkFaults{Network: spec.Network},
 
-		spec: spec, addresses: addresses, keyring: bundle.NewKeyring(keys), controlIP: addresses.Take(),
-		nodes: make(map[string]*instance),
+		spec: spec, addresses: addresses, keyring: bundle.NewKeyring(keys), controlIP: addresses.Next(),
+		nodes: make(map[string]*nodeInstance),
 	}
 	for _, described := range spec.Members {
 		d.members = append(d.members, &member{spec: described})
 	}
 	d.registerControl()
 	for _, described := range spec.Nodes {
-		slot := &instance{spec: described, ip: addresses.Take()}
-		d.nodes[described.ID] = slot
+		instance := &nodeInstance{spec: described, ip: addresses.Next()}
+		d.nodes[described.ID] = instance
 		for _, port := range []int{loopback.PortCallers, loopback.PortAdmin} {
 			endpoint := shape.Endpoint{Zone: described.Zone, Process: described.ID}
-			spec.Network.Register(loopback.WithPort(slot.ip, port), endpoint)
+			spec.Network.Register(loopback.WithPort(instance.ip, port), endpoint)
 		}
 	}
 	return d, nil
@@ -154,7 +154,7 @@
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(pollPause):
+	case <-time.After(pollInterval):
 		return nil
 	}
 }
@@ -184,11 +184,11 @@
 
 // Address returns the addresses of a node.
 func (d *Deployment) Address(id string) experiment.NodeAddress {
-	slot := d.nodes[id]
-	if slot == nil {
+	instance := d.nodes[id]
+	if instance == nil {
 		return experiment.NodeAddress{}
 	}
-	return experiment.NodeAddress{HTTP: loopback.WithPort(slot.ip, loopback.PortCallers), Admin: slot.admin()}
+	return experiment.NodeAddress{HTTP: loopback.WithPort(instance.ip, loopback.PortCallers), Admin: instance.admin()}
 }
 
 // Members returns the identifiers of the current members.
@@ -243,8 +243,8 @@
 			return err
 		}
 		var proxies []string
-		for _, slot := range d.nodes {
-			proxies = append(proxies, slot.admin())
+		for _, instance := range d.nodes {
+			proxies = append(proxies, instance.admin())
 		}
 		dial := d.spec.Network.Dialer(shape.Endpoint{Zone: m.spec.Zone, Process: id}, shape.KindControl)
 		m.control = startController(listeners[0], dial, d.keyring, proxies)
@@ -253,8 +253,8 @@
 	return nil
 }
 
-// takeMember marks a member as down and returns its process, or nil if it runs none.
-func (d *Deployment) takeMember(id string) (*controller, error) {
+// detachMember marks a member as down and returns its process, or nil if it runs none.
+func (d *Deployment) detachMember(id string) (*controller, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	position, err := d.find(id, true)
@@ -269,7 +269,7 @@
 
 // StopMember stops a member gracefully.
 func (d *Deployment) StopMember(ctx context.Context, id string) error {
-	process, err := d.takeMember(id)
+	process, err := d.detachMember(id)
 	if err != nil || process == nil {
 		return err
 	}
@@ -278,7 +278,7 @@
 
 // KillMember ends a member at once.
 func (d *Deployment) KillMember(id string) error {
-	process, err := d.takeMember(id)
+	process, err := d.detachMember(id)
 	if err != nil || process == nil {
 		return err
 	}
@@ -306,9 +306,9 @@
 		d.mu.Unlock()
 		return "", err
 	}
-	d.replaced++
+	d.replacements++
 	spec := d.members[position].spec
-	spec.ID = fmt.Sprintf("%s-r%d", id, d.replaced)
+	spec.ID = fmt.Sprintf("%s-r%d", id, d.replacements)
 	d.members[position] = &member{spec: spec}
 	d.registerControl()
 	d.mu.Unlock()
@@ -317,46 +317,46 @@
 
 // StartNode starts a node with empty memory.
 func (d *Deployment) StartNode(ctx context.Context, id string) error {
-	slot := d.nodes[id]
-	if slot == nil {
+	instance := d.nodes[id]
+	if instance == nil {
 		return errors.Wrapf(ErrUnknownProcess, "%s", id)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if slot.running != nil {
+	if instance.running != nil {
 		return errors.Wrapf(ErrRunning, "%s", id)
 	}
-	listeners, err := loopback.Listen(ctx, slot.ip, loopback.PortCallers, loopback.PortAdmin)
+	listeners, err := loopback.Listen(ctx, instance.ip, loopback.PortCallers, loopback.PortAdmin)
 	if err != nil {
 		return err
 	}
-	slot.running = startProxy(listeners[0], listeners[1], proxyOptions{
-		spec: slot.spec, control: d.control(), admin: slot.admin(), network: d.spec.Network,
+	instance.running = startProxy(listeners[0], listeners[1], proxyOptions{
+		spec: instance.spec, control: d.control(), admin: instance.admin(), network: d.spec.Network,
 		zoneDelay: d.spec.Profile.ZoneDelay, onApplied: d.spec.OnApplied,
 	})
 	return nil
 }
 
-// takeNode marks a node as down and returns its process.
-func (d *Deployment) takeNode(id string) (*proxy, error) {
+// detachNode marks a node as down and returns its process.
+func (d *Deployment) detachNode(id string) (*proxy, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	slot := d.nodes[id]
-	if slot == nil {
+	instance := d.nodes[id]
+	if instance == nil {
 		return nil, errors.Wrapf(ErrUnknownProcess, "%s", id)
 	}
-	if slot.running == nil {
+	if instance.running == nil {
 		return nil, errors.Wrapf(ErrDown, "%s", id)
 	}
-	process := slot.running
-	slot.running = nil
-	process.close()
+	process := instance.running
+	instance.running = nil
+	process.ignorePushes()
 	return process, nil
 }
 
 // StopNode stops a node gracefully.
 func (d *Deployment) StopNode(ctx context.Context, id string) error {
-	process, err := d.takeNode(id)
+	process, err := d.detachNode(id)
 	if err != nil {
 		return err
 	}
@@ -366,7 +366,7 @@
 
 // KillNode ends a node at once.
 func (d *Deployment) KillNode(id string) error {
-	process, err := d.takeNode(id)
+	process, err := d.detachNode(id)
 	if err != nil {
 		return err
 	}
@@ -405,8 +405,8 @@
 	transport := &http.Transport{DialContext: d.spec.Network.Dialer(local, kind)}
 	defer transport.CloseIdleConnections()
 	var verdict experiment.Verdict
-	err = send(ctx, &http.Client{Transport: transport}, http.MethodPost, "http://"+d.control()+pathApprove,
-		release{Approval: approval, Bundle: s.Bundle}, &verdict)
+	err = sendJSON(ctx, &http.Client{Transport: transport}, http.MethodPost, "http://"+d.control()+pathApprove,
+		approvedBundle{Approval: approval, Bundle: s.Bundle}, &verdict)
 	return verdict, err
 }
 
@@ -414,11 +414,11 @@
 func (d *Deployment) InForce(id string) (experiment.Applied, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	slot := d.nodes[id]
-	if slot == nil || slot.running == nil {
+	instance := d.nodes[id]
+	if instance == nil || instance.running == nil {
 		return experiment.Applied{}, false
 	}
-	current := slot.running.current.Load()
+	current := instance.running.current.Load()
 	if current == nil {
 		return experiment.Applied{}, false
 	}
--- a/local/naive/naive_test.go
+++ b/local/naive/naive_test.go
@@ -83,7 +83,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(d.StopNode(ctx, last)).To(Succeed())
 		Expect(d.StartNode(ctx, last)).To(Succeed())
-		Consistently(version, 2*interval).WithArguments(last).Should(BeZero())
+		Consistently(version, 2*controlInterval).WithArguments(last).Should(BeZero())
 		Eventually(func() (experiment.Verdict, error) {
 			attempt, cancel := context.WithTimeout(ctx, requestTimeout)
 			defer cancel()
--- a/local/naive/process.go
+++ b/local/naive/process.go
@@ -24,12 +24,12 @@
 )
 
 const (
-	// interval is the time between two pushes to a proxy and between two heartbeats of a proxy.
-	interval = time.Second
+	// controlInterval is the time between two pushes to a proxy and between two heartbeats of a proxy.
+	controlInterval = time.Second
 	// requestTimeout bounds one push or heartbeat.
 	requestTimeout = time.Second
-	// expiry is the age at which announcements and heartbeats that were not repeated are dropped.
-	expiry = 3 * interval
+	// maxReportAge is the age at which announcements and heartbeats that were not repeated are dropped.
+	maxReportAge = 3 * controlInterval
 	// maxControlBytes bounds the body of a control request.
 	maxControlBytes = 64 << 20
 )
@@ -56,7 +56,7 @@
 
 // repeat runs step at once, every interval and after each wake-up, until the process ends.
 func (p *process) repeat(wake <-chan struct{}, step func()) {
-	ticker := time.NewTicker(interval)
+	ticker := time.NewTicker(controlInterval)
 	defer ticker.Stop()
 	for p.ctx.Err() == nil {
 		step()
@@ -88,8 +88,8 @@
 	p.client.CloseIdleConnections()
 }
 
-// send sends a value as JSON and decodes the answer into result, unless that is nil.
-func send(ctx context.Context, client *http.Client, method, url string, value, result any) error {
+// sendJSON sends a value as JSON and decodes the answer into result, unless that is nil.
+func sendJSON(ctx context.Context, client *http.Client, method, url string, value, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	body, err := json.Marshal(value)
@@ -105,21 +105,21 @@
 		return err
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
+	content, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
 	}
 	if response.StatusCode/100 != 2 {
-		return errors.Newf("naive: %s answered %d: %s", url, response.StatusCode, bytes.TrimSpace(answer))
+		return errors.Newf("naive: %s answered %d: %s", url, response.StatusCode, bytes.TrimSpace(content))
 	}
 	if result == nil {
 		return nil
 	}
-	return json.Unmarshal(answer, result)
+	return json.Unmarshal(content, result)
 }
 
-// receive decodes the JSON body of a request, or answers with status 400.
-func receive(w http.ResponseWriter, r *http.Request, value any) bool {
+// decodeJSON decodes the JSON body of a request, or answers with status 400.
+func decodeJSON(w http.ResponseWriter, r *http.Request, value any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBytes)).Decode(value); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
--- a/local/naive/proxy.go
+++ b/local/naive/proxy.go
@@ -13,9 +13,9 @@
 	"sapphiregate.example/sapphiregate/transport/shape"
 )
 
-// idleConnections bounds the idle connections of a proxy to one upstream. The 16 proxies of the larger profile hold at
+// maxIdleConnections bounds the idle connections of a proxy to one upstream. The 16 proxies of the larger profile hold at
 // most 96 of the 120 connections that an upstream accepts.
-const idleConnections = 6
+const maxIdleConnections = 6
 
 // maxConnections bounds the connections of a proxy to one upstream, because all processes and callers of an experiment
 // share one limit of file descriptors. All proxies together may still open more than an upstream accepts.
@@ -44,12 +44,12 @@
 	calls   *http.Transport
 	current atomic.Pointer[inForce]
 
-	mu          sync.Mutex
-	closed      bool
-	announced   *node.Announcement
-	announcedAt time.Time
-	upstreams   map[string][]upstream
-	turns       map[string]int
+	mu             sync.Mutex
+	ignoringPushes bool
+	announced      *node.Announcement
+	announcedAt    time.Time
+	upstreams      map[string][]upstream
+	roundRobin     map[string]int
 }
 
 func startProxy(callers, admin net.Listener, o proxyOptions) *proxy {
@@ -57,10 +57,10 @@
 	p := &proxy{
 		process: newProcess(o.network.Dialer(local, shape.KindControl)), options: o,
 		calls: &http.Transport{
-			DialContext: o.network.Dialer(local, shape.KindCall), MaxIdleConnsPerHost: idleConnections,
+			DialContext: o.network.Dialer(local, shape.KindCall), MaxIdleConnsPerHost: maxIdleConnections,
 			MaxConnsPerHost: maxConnections, DisableCompression: true,
 		},
-		turns: make(map[string]int),
+		roundRobin: make(map[string]int),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+node.PathUpstream, p.serveAnnounce)
@@ -73,16 +73,16 @@
 	return p
 }
 
-// close makes later pushes ineffective, so that nothing is reported after the end of the process.
-func (p *proxy) close() {
+// ignorePushes makes later pushes ineffective, so that nothing is reported after the end of the process.
+func (p *proxy) ignorePushes() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closed = true
+	p.ignoringPushes = true
 }
 
 func (p *proxy) serveAnnounce(w http.ResponseWriter, r *http.Request) {
 	var announcement node.Announcement
-	if !receive(w, r, &announcement) {
+	if !decodeJSON(w, r, &announcement) {
 		return
 	}
 	if err := announcement.Validate(); err != nil {
@@ -110,13 +110,13 @@
 	if current := p.current.Load(); current != nil {
 		report.Version = current.applied.Version
 	}
-	_ = send(p.ctx, p.client, http.MethodPost, "http://"+p.options.control+pathHeartbeat, report, nil)
+	_ = sendJSON(p.ctx, p.client, http.MethodPost, "http://"+p.options.control+pathHeartbeat, report, nil)
 }
 
 func (p *proxy) ownUpstream() *upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.announced == nil || time.Since(p.announcedAt) >= expiry {
+	if p.announced == nil || time.Since(p.announcedAt) >= maxReportAge {
 		return nil
 	}
 	spec := p.options.spec
@@ -125,8 +125,8 @@
 
 // serveBundle takes a push. A version that is not greater than the one in force changes nothing.
 func (p *proxy) serveBundle(w http.ResponseWriter, r *http.Request) {
-	var pushed release
-	if !receive(w, r, &pushed) {
+	var pushed approvedBundle
+	if !decodeJSON(w, r, &pushed) {
 		return
 	}
 	routes, err := routing.New(pushed.Bundle)
@@ -138,11 +138,11 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (p *proxy) apply(pushed release, routes *routing.Table) {
+func (p *proxy) apply(pushed approvedBundle, routes *routing.Table) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	current := p.current.Load()
-	if p.closed || current != nil && pushed.Approval.Version <= current.applied.Version {
+	if p.ignoringPushes || current != nil && pushed.Approval.Version <= current.applied.Version {
 		return
 	}
 	applied := experiment.Applied{
@@ -157,7 +157,7 @@
 
 func (p *proxy) serveUpstreams(w http.ResponseWriter, r *http.Request) {
 	var list []upstream
-	if !receive(w, r, &list) {
+	if !decodeJSON(w, r, &list) {
 		return
 	}
 	byService := make(map[string][]upstream)
@@ -170,14 +170,14 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// next returns the upstreams of a service in turn.
-func (p *proxy) next(service string) (upstream, bool) {
+// nextUpstream returns the upstreams of a service in turn.
+func (p *proxy) nextUpstream(service string) (upstream, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.upstreams[service]
 	if len(list) == 0 {
 		return upstream{}, false
 	}
-	p.turns[service]++
-	return list[p.turns[service]%len(list)], true
+	p.roundRobin[service]++
+	return list[p.roundRobin[service]%len(list)], true
 }
--- a/local/processes.go
+++ b/local/processes.go
@@ -19,25 +19,25 @@
 	"sapphiregate.example/sapphiregate/transport/shape"
 )
 
-// slot is an instance that can hold one process.
-type slot interface {
+// runnable is an instance that can hold one process.
+type runnable interface {
 	comparable
-	up() bool
+	isRunning() bool
 }
 
-func (s *memberSlot) up() bool { return s.running != nil }
-func (s *nodeSlot) up() bool   { return s.running != nil }
+func (s *memberInstance) isRunning() bool { return s.running != nil }
+func (s *nodeInstance) isRunning() bool   { return s.running != nil }
 
-// find returns the slot of a process that is up or down as wanted. The lock is held.
-func find[S slot](slots map[string]S, id string, up bool) (S, error) {
+// findInstance returns the instance of a process that is up or down as wanted. The lock is held.
+func findInstance[S runnable](instances map[string]S, id string, running bool) (S, error) {
 	var none S
-	found := slots[id]
+	found := instances[id]
 	switch {
 	case found == none:
 		return none, errors.Wrapf(ErrUnknownProcess, "%s", id)
-	case up && !found.up():
+	case running && !found.isRunning():
 		return none, errors.Wrapf(ErrDown, "%s", id)
-	case !up && found.up():
+	case !running && found.isRunning():
 		return none, errors.Wrapf(ErrRunning, "%s", id)
 	}
 	return found, nil
@@ -46,32 +46,32 @@
 // StartMember starts a member on its data folder.
 func (d *Deployment) StartMember(ctx context.Context, id string) error {
 	d.mu.Lock()
-	slot, err := find(d.members, id, false)
+	instance, err := findInstance(d.members, id, false)
 	founders := d.founders()
 	d.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	if slot.added {
+	if instance.joinsGroup {
 		founders = nil
 	}
-	registryFolder, err := disk.NewOS(filepath.Join(slot.folder, "registry"))
+	registryFolder, err := disk.NewOS(filepath.Join(instance.folder, "registry"))
 	if err != nil {
 		return err
 	}
-	ledgerFolder, err := disk.NewOS(filepath.Join(slot.folder, "ledger"))
+	ledgerFolder, err := disk.NewOS(filepath.Join(instance.folder, "ledger"))
 	if err != nil {
 		return err
 	}
-	listeners, err := loopback.Listen(ctx, slot.ip, loopback.PortMesh, loopback.PortAdmin)
+	listeners, err := loopback.Listen(ctx, instance.ip, loopback.PortMesh, loopback.PortAdmin)
 	if err != nil {
 		return err
 	}
 	member, err := control.New(control.Options{
-		Instance: id, Zone: slot.spec.Zone, MeshListener: listeners[0], AdminListener: listeners[1], Founders: founders,
+		Instance: id, Zone: instance.spec.Zone, MeshListener: listeners[0], AdminListener: listeners[1], Founders: founders,
 		RegistryFolder: registryFolder, LedgerFolders: []disk.FS{ledgerFolder}, Keys: d.keyring,
-		Dialer:       d.dialer(slot.spec.Zone, id, shape.KindControl),
-		LedgerDialer: d.dialer(slot.spec.Zone, id, kindLedger),
+		Dialer:       d.dialer(instance.spec.Zone, id, shape.KindControl),
+		LedgerDialer: d.dialer(instance.spec.Zone, id, kindLedger),
 		Logger:       d.options.Logger.With().Str("process", id).Logger(), Relay: d.options.Relay,
 	})
 	if err != nil {
@@ -79,7 +79,7 @@
 	}
 	member.Start()
 	d.mu.Lock()
-	slot.running = member
+	instance.running = member
 	d.mu.Unlock()
 	return nil
 }
@@ -88,28 +88,28 @@
 func (d *Deployment) founders() []control.Founder {
 	var founders []control.Founder
 	for _, spec := range d.spec.Members {
-		slot := d.members[spec.ID]
-		founders = append(founders, control.Founder{Address: slot.mesh(), Zone: spec.Zone, Learner: spec.Learner})
+		instance := d.members[spec.ID]
+		founders = append(founders, control.Founder{Address: instance.mesh(), Zone: spec.Zone, Learner: spec.Learner})
 	}
 	return founders
 }
 
-// takeMember marks a member as down and returns its process.
-func (d *Deployment) takeMember(id string) (*control.Member, error) {
+// detachMember marks a member as down and returns its process.
+func (d *Deployment) detachMember(id string) (*control.Member, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	slot, err := find(d.members, id, true)
+	instance, err := findInstance(d.members, id, true)
 	if err != nil {
 		return nil, err
 	}
-	member := slot.running
-	slot.running = nil
+	member := instance.running
+	instance.running = nil
 	return member, nil
 }
 
 // StopMember stops a member gracefully.
 func (d *Deployment) StopMember(ctx context.Context, id string) error {
-	member, err := d.takeMember(id)
+	member, err := d.detachMember(id)
 	if err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 
 // KillMember ends a member at once.
 func (d *Deployment) KillMember(id string) error {
-	member, err := d.takeMember(id)
+	member, err := d.detachMember(id)
 	if err != nil {
 		return err
 	}
@@ -131,11 +131,11 @@
 func (d *Deployment) WipeMember(id string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	slot, err := find(d.members, id, false)
+	instance, err := findInstance(d.members, id, false)
 	if err != nil {
 		return err
 	}
-	return os.RemoveAll(slot.folder)
+	return os.RemoveAll(instance.folder)
 }
 
 // ReplaceMember puts a new member into the place of an old one.
@@ -146,10 +146,10 @@
 		d.mu.Unlock()
 		return "", errors.Wrapf(ErrUnknownProcess, "%s", id)
 	}
-	d.spares++
-	spec := experiment.MemberSpec{ID: fmt.Sprintf("%s-r%d", id, d.spares), Zone: old.spec.Zone}
+	d.replacements++
+	spec := experiment.MemberSpec{ID: fmt.Sprintf("%s-r%d", id, d.replacements), Zone: old.spec.Zone}
 	added := d.addMember(spec)
-	added.added = true
+	added.joinsGroup = true
 	oldAddress := old.mesh()
 	d.mu.Unlock()
 	if err := d.StartMember(ctx, spec.ID); err != nil {
@@ -160,9 +160,9 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for i, other := range d.order {
+	for i, other := range d.memberOrder {
 		if other == id {
-			d.order = append(d.order[:i:i], d.order[i+1:]...)
+			d.memberOrder = append(d.memberOrder[:i:i], d.memberOrder[i+1:]...)
 			break
 		}
 	}
@@ -170,7 +170,7 @@
 }
 
 // replace runs the operators' replacement until it is committed; the request is idempotent.
-func (d *Deployment) replace(ctx context.Context, oldAddress string, added *memberSlot) error {
+func (d *Deployment) replace(ctx context.Context, oldAddress string, added *memberInstance) error {
 	for {
 		err := d.tryReplace(ctx, oldAddress, added)
 		if err == nil {
@@ -182,7 +182,7 @@
 	}
 }
 
-func (d *Deployment) tryReplace(ctx context.Context, oldAddress string, added *memberSlot) error {
+func (d *Deployment) tryReplace(ctx context.Context, oldAddress string, added *memberInstance) error {
 	leader, ok := d.Leader()
 	if !ok {
 		return errors.New("local: no leader")
@@ -212,9 +212,9 @@
 func (d *Deployment) Leader() (string, bool) {
 	d.mu.Lock()
 	running := make(map[string]*control.Member, len(d.members))
-	for id, slot := range d.members {
-		if slot.running != nil {
-			running[id] = slot.running
+	for id, instance := range d.members {
+		if instance.running != nil {
+			running[id] = instance.running
 		}
 	}
 	d.mu.Unlock()
@@ -231,66 +231,66 @@
 // StartNode starts a node with empty memory.
 func (d *Deployment) StartNode(ctx context.Context, id string) error {
 	d.mu.Lock()
-	slot, err := find(d.nodes, id, false)
+	instance, err := findInstance(d.nodes, id, false)
 	var members []string
 	if err == nil {
-		members = d.meshAddresses(slot.spec.Zone)
-		slot.applied = experiment.Applied{}
+		members = d.meshAddresses(instance.spec.Zone)
+		instance.applied = experiment.Applied{}
 	}
 	d.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	listeners, err := loopback.Listen(ctx, slot.ip, loopback.PortCallers, loopback.PortMesh, loopback.PortAdmin)
+	listeners, err := loopback.Listen(ctx, instance.ip, loopback.PortCallers, loopback.PortMesh, loopback.PortAdmin)
 	if err != nil {
 		return err
 	}
 	process := node.New(node.Options{
-		ID: id, Zone: slot.spec.Zone, Callers: listeners[0], Mesh: listeners[1], Admin: listeners[2],
+		ID: id, Zone: instance.spec.Zone, Callers: listeners[0], Mesh: listeners[1], Admin: listeners[2],
 		Members: members, Keys: d.keyring,
-		ControlDialer: d.dialer(slot.spec.Zone, id, shape.KindControl),
-		LedgerDialer:  d.dialer(slot.spec.Zone, id, kindLedger),
-		CallDialer:    d.dialer(slot.spec.Zone, id, shape.KindCall),
+		ControlDialer: d.dialer(instance.spec.Zone, id, shape.KindControl),
+		LedgerDialer:  d.dialer(instance.spec.Zone, id, kindLedger),
+		CallDialer:    d.dialer(instance.spec.Zone, id, shape.KindCall),
 		ZoneDelay:     func(string) time.Duration { return d.spec.Profile.ZoneDelay },
 		Policy:        d.options.Policy,
 		Logger:        d.options.Logger.With().Str("process", id).Logger(),
-		OnApplied:     func(a bundle.Approval, b *bundle.Bundle, at time.Time) { d.applied(slot, a, b, at) },
+		OnApplied:     func(a bundle.Approval, b *bundle.Bundle, at time.Time) { d.recordApplied(instance, a, b, at) },
 		Relay:         d.options.Relay,
 	})
 	process.Start()
 	d.mu.Lock()
-	slot.running = process
+	instance.running = process
 	d.mu.Unlock()
 	return nil
 }
 
-func (d *Deployment) applied(slot *nodeSlot, approval bundle.Approval, b *bundle.Bundle, at time.Time) {
+func (d *Deployment) recordApplied(instance *nodeInstance, approval bundle.Approval, b *bundle.Bundle, at time.Time) {
 	applied := experiment.Applied{
-		Node: slot.spec.ID, Version: approval.Version, Digest: approval.Digest, Bundle: b, At: at,
+		Node: instance.spec.ID, Version: approval.Version, Digest: approval.Digest, Bundle: b, At: at,
 	}
 	d.mu.Lock()
-	slot.applied = applied
+	instance.applied = applied
 	d.mu.Unlock()
 	if d.spec.OnApplied != nil {
 		d.spec.OnApplied(applied)
 	}
 }
 
-func (d *Deployment) takeNode(id string) (*node.Node, error) {
+func (d *Deployment) detachNode(id string) (*node.Node, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	slot, err := find(d.nodes, id, true)
+	instance, err := findInstance(d.nodes, id, true)
 	if err != nil {
 		return nil, err
 	}
-	process := slot.running
-	slot.running = nil
+	process := instance.running
+	instance.running = nil
 	return process, nil
 }
 
 // StopNode stops a node gracefully.
 func (d *Deployment) StopNode(ctx context.Context, id string) error {
-	process, err := d.takeNode(id)
+	process, err := d.detachNode(id)
 	if err != nil {
 		return err
 	}
@@ -299,7 +299,7 @@
 
 // KillNode ends a node at once.
 func (d *Deployment) KillNode(id string) error {
-	process, err := d.takeNode(id)
+	process, err := d.detachNode(id)
 	if err != nil {
 		return err
 	}
@@ -311,10 +311,10 @@
 // KnownUpstreams returns the number of serving upstreams that a node knows.
 func (d *Deployment) KnownUpstreams(id string) int {
 	d.mu.Lock()
-	slot := d.nodes[id]
+	instance := d.nodes[id]
 	d.mu.Unlock()
-	if slot == nil || slot.running == nil {
+	if instance == nil || instance.running == nil {
 		return 0
 	}
-	return slot.running.KnownUpstreams()
+	return instance.running.KnownUpstreams()
 }
