--- a/daemon/dev.go
+++ b/daemon/dev.go
@@ -74,7 +74,7 @@
 	local      *local.Deployment
 	spec       experiment.Spec
 	upstreams  []*standin.Upstream
-	truth      *standin.Truth
+	truth      *standin.Recorder
 }
 
 func runDev(ctx context.Context, flags devFlags, logger zerolog.Logger, out io.Writer) error {
@@ -87,7 +87,7 @@
 		return errors.Wrap(err, "daemon: create data folder")
 	}
 	defer os.RemoveAll(folder)
-	d := &devDeployment{profile: profile, folder: folder, truth: &standin.Truth{}}
+	d := &devDeployment{profile: profile, folder: folder, truth: &standin.Recorder{}}
 	defer d.close()
 	if err := d.prepare(local.Options{Logger: logger}); err != nil {
 		return err
@@ -180,7 +180,7 @@
 		address := d.local.Address(node.ID)
 		options := d.profile.Upstream(int64(i))
 		options.ID, options.Service, options.NodeID = "upstream-"+node.ID, node.Service, node.ID
-		options.Node, options.Admin, options.Truth = address.HTTP, address.Admin, d.truth
+		options.NodeAddress, options.NodeAdminAddress, options.Recorder = address.HTTP, address.Admin, d.truth
 		upstream := standin.New(options)
 		if err := upstream.Start(); err != nil {
 			return err
--- a/experiment/actions.go
+++ b/experiment/actions.go
@@ -29,7 +29,7 @@
 var slowLink = shape.Link{Delay: 20 * time.Millisecond, Jitter: 10 * time.Millisecond, Loss: 0.01}
 
 // liar is a slow upstream that reports no load and good health.
-var liar = standin.Faults{Slow: 5, LieLoad: true, LieHealth: true, Sick: true}
+var liar = standin.Faults{SlowFactor: 5, ReportIdle: true, ReportHealthy: true, Unhealthy: true}
 
 func slowZone(_ context.Context, r *runner) error {
 	r.deployment.SlowZone(r.randomZone(), slowLink)
--- a/experiment/fake_test.go
+++ b/experiment/fake_test.go
@@ -359,7 +359,7 @@
 func (d *fakeDeployment) serve(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	answer := &fakeAnswer{status: http.StatusGatewayTimeout, header: http.Header{standin.HeaderOutcome: {"unknown"}}}
-	if key := r.Header.Get(standin.HeaderKey); key == "" {
+	if key := r.Header.Get(standin.HeaderIdempotencyKey); key == "" {
 		answer = d.forward(r, body)
 	} else if k, first := d.claim(key); first {
 		answer = d.forward(r, body)
@@ -420,7 +420,7 @@
 func (d *fakeDeployment) exchange(r *http.Request, address string, body []byte) *fakeAnswer {
 	unknown := &fakeAnswer{status: http.StatusBadGateway, header: http.Header{standin.HeaderOutcome: {"unknown"}}}
 	ctx := r.Context()
-	if r.Header.Get(standin.HeaderKey) != "" {
+	if r.Header.Get(standin.HeaderIdempotencyKey) != "" {
 		ctx = context.WithoutCancel(ctx)
 	}
 	// The reader's type is hidden, so that the client never sends a request again by itself.
@@ -441,7 +441,7 @@
 	header := response.Header.Clone()
 	if header.Get(standin.HeaderOutcome) == "" {
 		header.Set(standin.HeaderOutcome, "done")
-		header.Set(standin.HeaderAdded, "100")
+		header.Set(standin.HeaderAddedTime, "100")
 	}
 	return &fakeAnswer{status: response.StatusCode, header: header, body: content}
 }
--- a/experiment/judge.go
+++ b/experiment/judge.go
@@ -20,7 +20,7 @@
 // judge compares what callers were told with what the upstreams ran.
 type judge struct {
 	calls      []*load.Call
-	truth      *standin.Truth
+	truth      *standin.Recorder
 	faults     *faultLog
 	violations *violationLog
 	// roundTrip is the time on the wire between callers and nodes.
@@ -58,7 +58,7 @@
 			}
 		}
 	}
-	for _, request := range j.truth.WrongNested() {
+	for _, request := range j.truth.WrongNestedResponses() {
 		j.violations.add(invariant.WrongAnswer, "nested call "+request)
 	}
 }
@@ -84,7 +84,7 @@
 }
 
 func (j *judge) checkDrains() {
-	for _, work := range j.truth.Late() {
+	for _, work := range j.truth.LateRequests() {
 		if work.After > drainLimit {
 			j.violations.add(invariant.LateDrainWork, fmt.Sprintf("%s got %s after %v", work.Upstream, work.Attempt, work.After))
 		}
--- a/experiment/load/generator.go
+++ b/experiment/load/generator.go
@@ -233,7 +233,7 @@
 	h.Set(standin.HeaderClass, string(call.Route.Class))
 	h.Set(standin.HeaderDeadline, fmt.Sprint(max(1, left.Milliseconds())))
 	if call.Route.Class == bundle.ClassIrreversible {
-		h.Set(standin.HeaderKey, call.Request)
+		h.Set(standin.HeaderIdempotencyKey, call.Request)
 	}
 	if a.crash {
 		h.Set(standin.HeaderCrash, "1")
--- a/experiment/load/send.go
+++ b/experiment/load/send.go
@@ -94,14 +94,14 @@
 		a.fail(response.Request.Context(), err)
 		return
 	}
-	if micros, err := strconv.ParseInt(response.Header.Get(standin.HeaderAdded), 10, 64); err == nil {
+	if micros, err := strconv.ParseInt(response.Header.Get(standin.HeaderAddedTime), 10, 64); err == nil {
 		a.Added = time.Duration(micros) * time.Microsecond
 	}
 	a.Outcome = outcomeOf(response)
 	if a.Outcome != Done {
 		return
 	}
-	answer, err := standin.CheckAnswer(response.Header, body, call.Request)
+	answer, err := standin.CheckResponse(response.Header, body, call.Request)
 	if err != nil {
 		a.Outcome = Failed
 		a.Wrong = err.Error()
--- a/experiment/profile.go
+++ b/experiment/profile.go
@@ -176,7 +176,7 @@
 
 // Upstream returns the options of a stand-in of the profile.
 func (p Profile) Upstream(seed int64) standin.Options {
-	return standin.Options{Seed: seed, Slots: p.Slots, Connections: p.Connections, Connect: p.Connect, Times: p.Times}
+	return standin.Options{Seed: seed, Slots: p.Slots, Connections: p.Connections, ConnectDelay: p.Connect, ServiceTimes: p.Times}
 }
 
 // Demand returns the arrival rates that put the given shares of the slots' capacity on every service.
--- a/experiment/runner.go
+++ b/experiment/runner.go
@@ -85,7 +85,7 @@
 	members    []MemberSpec
 	nodes      []NodeSpec
 	upstreams  []*standin.Upstream
-	truth      *standin.Truth
+	truth      *standin.Recorder
 	faults     *faultLog
 	violations *violationLog
 	versions   *versionLog
@@ -172,7 +172,7 @@
 func newRunner(c Config) *runner {
 	r := &runner{
 		profile: c.Profile, scenario: c.Scenario, seed: c.Seed, duration: c.Duration,
-		network: shape.NewNetwork(c.Seed), nodes: c.Profile.Nodes(c.Nodes), members: c.Profile.Members(), truth: &standin.Truth{},
+		network: shape.NewNetwork(c.Seed), nodes: c.Profile.Nodes(c.Nodes), members: c.Profile.Members(), truth: &standin.Recorder{},
 		faults: newFaultLog(), violations: newViolationLog(), rng: rand.New(rand.NewPCG(uint64(c.Seed), 1)),
 	}
 	prefix := runPrefix()
@@ -282,10 +282,10 @@
 	o := r.profile.Upstream(r.seed + int64(i))
 	o.ID = fmt.Sprintf("upstream-%d", i)
 	o.Service = node.Service
-	o.NodeID, o.Node, o.Admin = node.ID, address.HTTP, address.Admin
+	o.NodeID, o.NodeAddress, o.NodeAdminAddress = node.ID, address.HTTP, address.Admin
 	o.IP = r.prefix.address(upstreamAddresses + i)
 	o.TimeScale = r.scenario.timeScale
-	o.Truth = r.truth
+	o.Recorder = r.truth
 	for _, service := range r.profile.Services {
 		o.NestPaths = append(o.NestPaths, RoutePath(service.Name, bundle.ClassLookup))
 	}
--- a/experiment/scenario.go
+++ b/experiment/scenario.go
@@ -151,7 +151,7 @@
 		{
 			Name: "resend-storm", About: "late answers and impatient callers that resend to other nodes",
 			phases: usualLoad, rollouts: 2, patience: 150 * time.Millisecond, sends: 5,
-			upstream: standin.Faults{LateRate: 0.1, Late: 300 * time.Millisecond, TruncateRate: 0.01, ShedRate: 0.02},
+			upstream: standin.Faults{LateRate: 0.1, LateDelay: 300 * time.Millisecond, TruncateRate: 0.01, ShedRate: 0.02},
 		},
 		{
 			Name: "crash-request", About: "requests that crash every upstream that runs them, sent again by their callers",
@@ -164,7 +164,7 @@
 		{
 			Name: "mixed-faults", About: "random, overlapping faults of all kinds",
 			Duration: 15 * time.Second, phases: usualLoad, rollouts: 10,
-			upstream: standin.Faults{LateRate: 0.02, Late: 200 * time.Millisecond, TruncateRate: 0.005, ShedRate: 0.01},
+			upstream: standin.Faults{LateRate: 0.02, LateDelay: 200 * time.Millisecond, TruncateRate: 0.005, ShedRate: 0.01},
 			steps:    []step{{0.05, "mixed faults", mixedFaults}},
 		},
 	}
--- a/experiment/standin/announcer.go
+++ b/experiment/standin/announcer.go
@@ -62,7 +62,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &announcer{
-		client: client, url: "http://" + o.Admin + "/v1/upstream", body: body, stop: cancel,
+		client: client, url: "http://" + o.NodeAdminAddress + "/v1/upstream", body: body, stop: cancel,
 		drained: make(chan struct{}), changed: make(chan struct{}, 1),
 	}
 	go a.run(ctx)
--- a/experiment/standin/handler.go
+++ b/experiment/standin/handler.go
@@ -62,14 +62,14 @@
 
 func (u *Upstream) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	f := u.faults.Load()
-	if f.Sick && !f.LieHealth {
+	if f.Unhealthy && !f.ReportHealthy {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
 func (u *Upstream) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	report := u.lagging.get(u.load)
-	if u.faults.Load().LieLoad {
+	if u.faults.Load().ReportIdle {
 		report = LoadReport{Slots: u.options.Slots}
 	}
 	// A caller that went away needs no report.
@@ -133,7 +133,7 @@
 	drainAt := u.drainAt
 	u.mu.Unlock()
 	if !drainAt.IsZero() {
-		u.options.Truth.addLate(LateWork{Upstream: u.options.ID, Attempt: c.attempt, After: time.Since(drainAt)})
+		u.options.Recorder.addLate(LateRequest{Upstream: u.options.ID, Attempt: c.attempt, After: time.Since(drainAt)})
 	}
 }
 
@@ -141,21 +141,21 @@
 	u.running.Add(1)
 	defer u.running.Add(-1)
 	receipt := u.nextReceipt()
-	index := u.options.Truth.begin(Run{
+	index := u.options.Recorder.begin(Run{
 		Request: c.request, Attempt: c.attempt, Class: c.class, Upstream: u.options.ID, Node: u.options.NodeID,
 		Receipt: receipt, Start: time.Now(),
 	})
 	if r.Header.Get(HeaderCrash) != "" {
-		u.options.Truth.end(index, false, true)
+		u.options.Recorder.end(index, false, true)
 		u.Crash()
 		panic(http.ErrAbortHandler)
 	}
 	if !sleep(r.Context(), u.serviceTime(c)) {
-		u.options.Truth.end(index, false, u.died())
+		u.options.Recorder.end(index, false, u.died())
 		return
 	}
 	nested := u.nested(r, c)
-	u.options.Truth.end(index, true, false)
+	u.options.Recorder.end(index, true, false)
 	if nested != nil {
 		// The request ran, and its answer is an error of the application.
 		http.Error(w, nested.Error(), http.StatusInternalServerError)
@@ -173,13 +173,13 @@
 
 // serviceTime is half fixed and half exponential, so that the mean is kept and long runs occur.
 func (u *Upstream) serviceTime(c call) time.Duration {
-	mean := float64(u.options.Times[c.class]) * u.options.TimeScale * u.slowness()
+	mean := float64(u.options.ServiceTimes[c.class]) * u.options.TimeScale * u.slowness()
 	return time.Duration(mean * (0.5 + 0.5*c.rng.ExpFloat64()))
 }
 
 func (u *Upstream) answer(w http.ResponseWriter, r *http.Request, c call, receipt string, f *Faults) {
 	body, digest := newAnswer(c.request, receipt, answerSize(c))
-	if c.rng.Float64() < f.LateRate && !sleep(r.Context(), f.Late) {
+	if c.rng.Float64() < f.LateRate && !sleep(r.Context(), f.LateDelay) {
 		return
 	}
 	w.Header().Set(HeaderDigest, digest)
--- a/experiment/standin/nested.go
+++ b/experiment/standin/nested.go
@@ -17,7 +17,7 @@
 		return nil
 	}
 	inner := fmt.Sprintf("%s/%d", c.request, c.nest)
-	url := "http://" + u.options.Node + u.options.NestPaths[c.nest%len(u.options.NestPaths)]
+	url := "http://" + u.options.NodeAddress + u.options.NestPaths[c.nest%len(u.options.NestPaths)]
 	request, err := http.NewRequestWithContext(r.Context(), http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -39,8 +39,8 @@
 	if response.StatusCode != http.StatusOK {
 		return errors.Newf("standin: nested call got status %d", response.StatusCode)
 	}
-	if _, err := CheckAnswer(response.Header, body, inner); err != nil {
-		u.options.Truth.addWrongNested(inner)
+	if _, err := CheckResponse(response.Header, body, inner); err != nil {
+		u.options.Recorder.addWrongNested(inner)
 		return err
 	}
 	return nil
--- a/experiment/standin/standin.go
+++ b/experiment/standin/standin.go
@@ -27,37 +27,37 @@
 	// NodeID is the node beside the upstream. Admin is that node's address for announcements, and Node its address
 	// for nested calls.
 	NodeID string
-	Admin  string
-	Node   string
+	NodeAdminAddress  string
+	NodeAddress   string
 	// NestPaths are the paths that nested calls take in turn.
 	NestPaths   []string
 	Slots       int
 	Connections int
-	// Connect is the extra time before the first byte of a new connection is read.
-	Connect time.Duration
-	// Times are the mean service times by class. TimeScale multiplies them; 0 takes 1.
-	Times     map[bundle.Class]time.Duration
+	// ConnectDelay is the extra time before the first byte of a new connection is read.
+	ConnectDelay time.Duration
+	// ServiceTimes are the mean service times by class. TimeScale multiplies them; 0 takes 1.
+	ServiceTimes     map[bundle.Class]time.Duration
 	TimeScale float64
-	// Truth receives the ground truth.
-	Truth *Truth
+	// Recorder receives the ground truth.
+	Recorder *Recorder
 }
 
 // Faults are misbehaviours that can be changed while the upstream runs. Rates are probabilities per request.
 type Faults struct {
-	// Slow multiplies service times; 0 takes 1.
-	Slow float64
-	// LieLoad makes the load endpoint report an idle upstream, and LieHealth a healthy one.
-	LieLoad   bool
-	LieHealth bool
-	// Sick makes the health endpoint report failure unless it lies.
-	Sick bool
+	// SlowFactor multiplies service times; 0 takes 1.
+	SlowFactor float64
+	// ReportIdle makes the load endpoint report an idle upstream, and LieHealth a healthy one.
+	ReportIdle   bool
+	ReportHealthy bool
+	// Unhealthy makes the health endpoint report failure unless it lies.
+	Unhealthy bool
 	// ShedRate refuses requests as not run.
 	ShedRate float64
 	// TruncateRate cuts answers after half of the body.
 	TruncateRate float64
 	// LateRate delays finished answers by Late.
 	LateRate float64
-	Late     time.Duration
+	LateDelay     time.Duration
 }
 
 const (
@@ -141,7 +141,7 @@
 	u.warm = warm
 	u.server = &http.Server{Handler: u.handler()}
 	go func(server *http.Server) {
-		_ = server.Serve(newLimitListener(listener, u.options.Connections, u.options.Connect))
+		_ = server.Serve(newLimitListener(listener, u.options.Connections, u.options.ConnectDelay))
 	}(u.server)
 	if u.announce == nil {
 		u.announce = newAnnouncer(u.client, u.options, u.address)
@@ -252,7 +252,7 @@
 	if !warm && age < coldTime {
 		factor += (coldFactor - 1) * (1 - age.Seconds()/coldTime.Seconds())
 	}
-	if slow := u.faults.Load().Slow; slow > 0 {
+	if slow := u.faults.Load().SlowFactor; slow > 0 {
 		factor *= slow
 	}
 	return factor
--- a/experiment/standin/standin_test.go
+++ b/experiment/standin/standin_test.go
@@ -49,13 +49,13 @@
 }
 
 // start starts an upstream with one millisecond of service time.
-func start(edit func(*Options)) (*Upstream, *Truth, *fakeAdmin) {
+func start(edit func(*Options)) (*Upstream, *Recorder, *fakeAdmin) {
 	GinkgoHelper()
 	admin := newFakeAdmin()
 	o := Options{
-		Seed: 1, ID: "u", Service: "rank", NodeID: "n", Admin: strings.TrimPrefix(admin.URL, "http://"),
-		Slots: 2, Connections: 4, Truth: &Truth{},
-		Times: map[bundle.Class]time.Duration{bundle.ClassLookup: time.Millisecond},
+		Seed: 1, ID: "u", Service: "rank", NodeID: "n", NodeAdminAddress: strings.TrimPrefix(admin.URL, "http://"),
+		Slots: 2, Connections: 4, Recorder: &Recorder{},
+		ServiceTimes: map[bundle.Class]time.Duration{bundle.ClassLookup: time.Millisecond},
 	}
 	if edit != nil {
 		edit(&o)
@@ -63,7 +63,7 @@
 	u := New(o)
 	Expect(u.Start()).To(Succeed())
 	DeferCleanup(u.Close)
-	return u, o.Truth, admin
+	return u, o.Recorder, admin
 }
 
 // get sends one request and returns the response with its body, or the error of either.
@@ -92,7 +92,7 @@
 		u, truth, _ := start(nil)
 		response, body, err := get(u)
 		Expect(err).NotTo(HaveOccurred())
-		answer, err := CheckAnswer(response.Header, body, "r")
+		answer, err := CheckResponse(response.Header, body, "r")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(truth.Runs()).To(HaveLen(1))
 		run := truth.Runs()[0]
@@ -106,13 +106,13 @@
 		u, _, _ := start(nil)
 		response, body, err := get(u)
 		Expect(err).NotTo(HaveOccurred())
-		_, err = CheckAnswer(response.Header, body, "another")
-		Expect(err).To(MatchError(ErrWrongAnswer))
-		_, err = CheckAnswer(response.Header, body[:len(body)-1], "r")
-		Expect(err).To(MatchError(ErrWrongAnswer))
+		_, err = CheckResponse(response.Header, body, "another")
+		Expect(err).To(MatchError(ErrWrongResponse))
+		_, err = CheckResponse(response.Header, body[:len(body)-1], "r")
+		Expect(err).To(MatchError(ErrWrongResponse))
 		body[20] ^= 1
-		_, err = CheckAnswer(response.Header, body, "r")
-		Expect(err).To(MatchError(ErrWrongAnswer))
+		_, err = CheckResponse(response.Header, body, "r")
+		Expect(err).To(MatchError(ErrWrongResponse))
 	})
 
 	// Guards against a shed request that counts as run, which would make every not-run a false one.
@@ -157,7 +157,7 @@
 		Expect(methods[len(methods)-1]).To(Equal("DELETE /v1/upstream"))
 		_, _, err := get(u)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(truth.Late()).To(HaveLen(1))
+		Expect(truth.LateRequests()).To(HaveLen(1))
 	})
 
 	// Guards against a graceful stop that interrupts the upstream's own requests.
@@ -179,9 +179,9 @@
 			defer response.Body.Close()
 			return response.StatusCode
 		}
-		u.SetFaults(Faults{Sick: true})
+		u.SetFaults(Faults{Unhealthy: true})
 		Expect(status()).To(Equal(http.StatusServiceUnavailable))
-		u.SetFaults(Faults{Sick: true, LieHealth: true})
+		u.SetFaults(Faults{Unhealthy: true, ReportHealthy: true})
 		Expect(status()).To(Equal(http.StatusOK))
 	})
 
@@ -203,9 +203,9 @@
 			_, _ = io.Copy(w, response.Body)
 		}))
 		DeferCleanup(node.Close)
-		var truth *Truth
+		var truth *Recorder
 		u, truth, _ = start(func(o *Options) {
-			o.Node, o.NestPaths, o.Slots, o.Connections = strings.TrimPrefix(node.URL, "http://"), []string{"/rank/lookup"}, 8, 8
+			o.NodeAddress, o.NestPaths, o.Slots, o.Connections = strings.TrimPrefix(node.URL, "http://"), []string{"/rank/lookup"}, 8, 8
 		})
 		response, _, err := get(u, HeaderNest, "3", HeaderDeadline, "5000", HeaderDepth, "1")
 		Expect(err).NotTo(HaveOccurred())
--- a/experiment/standin/truth.go
+++ b/experiment/standin/truth.go
@@ -25,30 +25,30 @@
 	Crashed bool
 }
 
-// LateWork is a request that reached an upstream after it announced that it is leaving.
-type LateWork struct {
+// LateRequest is a request that reached an upstream after it announced that it is leaving.
+type LateRequest struct {
 	Upstream string
 	Attempt  string
 	After    time.Duration
 }
 
-// Truth is the ground truth of all upstreams of one experiment. It is safe for concurrent use.
-type Truth struct {
+// Recorder is the ground truth of all upstreams of one experiment. It is safe for concurrent use.
+type Recorder struct {
 	mu          sync.Mutex
 	runs        []Run
-	late        []LateWork
+	late        []LateRequest
 	wrongNested []string
 }
 
 // begin records the start of a run and returns its index.
-func (t *Truth) begin(run Run) int {
+func (t *Recorder) begin(run Run) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.runs = append(t.runs, run)
 	return len(t.runs) - 1
 }
 
-func (t *Truth) end(index int, finished, crashed bool) {
+func (t *Recorder) end(index int, finished, crashed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	run := &t.runs[index]
@@ -57,34 +57,34 @@
 	run.Crashed = crashed
 }
 
-func (t *Truth) addLate(work LateWork) {
+func (t *Recorder) addLate(work LateRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.late = append(t.late, work)
 }
 
-func (t *Truth) addWrongNested(request string) {
+func (t *Recorder) addWrongNested(request string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.wrongNested = append(t.wrongNested, request)
 }
 
 // Runs returns a copy of all runs. A run that has not ended has a zero End.
-func (t *Truth) Runs() []Run {
+func (t *Recorder) Runs() []Run {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.runs)
 }
 
-// Late returns the requests that arrived after an upstream announced that it is leaving.
-func (t *Truth) Late() []LateWork {
+// LateRequests returns the requests that arrived after an upstream announced that it is leaving.
+func (t *Recorder) LateRequests() []LateRequest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.late)
 }
 
-// WrongNested returns the nested calls whose answer was complete but belonged to another request or was altered.
-func (t *Truth) WrongNested() []string {
+// WrongNestedResponses returns the nested calls whose answer was complete but belonged to another request or was altered.
+func (t *Recorder) WrongNestedResponses() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.wrongNested)
--- a/experiment/standin/wire.go
+++ b/experiment/standin/wire.go
@@ -29,18 +29,18 @@
 	HeaderDeadline = "Sapphire-Deadline-Ms"
 	HeaderDepth    = "Sapphire-Depth"
 	HeaderRetry    = "Sapphire-Retry"
-	HeaderKey      = "Idempotency-Key"
-	HeaderAdded    = "Sapphire-Added-Micros"
+	HeaderIdempotencyKey      = "Idempotency-Key"
+	HeaderAddedTime    = "Sapphire-Added-Micros"
 )
 
 // OutcomeNotRun is the outcome that an upstream sends when it sheds a request.
 const OutcomeNotRun = "not-run"
 
-// ErrWrongAnswer reports an answer that is complete but altered or for another request.
-var ErrWrongAnswer = errors.New("standin: wrong answer")
+// ErrWrongResponse reports an answer that is complete but altered or for another request.
+var ErrWrongResponse = errors.New("standin: wrong answer")
 
-// Answer is the body of an upstream's response.
-type Answer struct {
+// ResponseBody is the body of an upstream's response.
+type ResponseBody struct {
 	Request string `json:"request"`
 	// Receipt identifies the run that produced the answer.
 	Receipt string `json:"receipt"`
@@ -49,7 +49,7 @@
 
 // newAnswer returns a body of about the given size and its digest.
 func newAnswer(request, receipt string, size int) (body []byte, digest string) {
-	body, err := json.Marshal(Answer{Request: request, Receipt: receipt, Filler: strings.Repeat("x", size)})
+	body, err := json.Marshal(ResponseBody{Request: request, Receipt: receipt, Filler: strings.Repeat("x", size)})
 	if err != nil {
 		// Strings always encode.
 		panic(err)
@@ -62,17 +62,17 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// CheckAnswer verifies a complete response to a request. It returns ErrWrongAnswer unless digest and echo match.
-func CheckAnswer(header http.Header, body []byte, request string) (Answer, error) {
+// CheckResponse verifies a complete response to a request. It returns ErrWrongAnswer unless digest and echo match.
+func CheckResponse(header http.Header, body []byte, request string) (ResponseBody, error) {
 	if header.Get(HeaderDigest) != digestOf(body) {
-		return Answer{}, errors.Wrapf(ErrWrongAnswer, "digest of %d bytes", len(body))
+		return ResponseBody{}, errors.Wrapf(ErrWrongResponse, "digest of %d bytes", len(body))
 	}
-	var answer Answer
+	var answer ResponseBody
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return Answer{}, errors.Wrap(ErrWrongAnswer, err.Error())
+		return ResponseBody{}, errors.Wrap(ErrWrongResponse, err.Error())
 	}
 	if answer.Request != request {
-		return Answer{}, errors.Wrapf(ErrWrongAnswer, "answer to %s, want %s", answer.Request, request)
+		return ResponseBody{}, errors.Wrapf(ErrWrongResponse, "answer to %s, want %s", answer.Request, request)
 	}
 	return answer, nil
 }
--- a/local/naive/naive_test.go
+++ b/local/naive/naive_test.go
@@ -52,7 +52,7 @@
 		address := d.Address(nodes[0].ID)
 		options := profile.Upstream(1)
 		options.ID, options.Service, options.NodeID = "upstream", nodes[0].Service, nodes[0].ID
-		options.Admin, options.Node, options.Truth = address.Admin, address.HTTP, &standin.Truth{}
+		options.NodeAdminAddress, options.NodeAddress, options.Recorder = address.Admin, address.HTTP, &standin.Recorder{}
 		upstream := standin.New(options)
 		Expect(upstream.Start()).To(Succeed())
 		ginkgo.DeferCleanup(upstream.Close)
