--- a/experiment/profile.go
+++ b/experiment/profile.go
@@ -125,7 +125,7 @@
 func (p Profile) Shape(n *shape.Network, extra shape.Link) {
 	for i, a := range p.Zones {
 		for _, b := range p.Zones[i+1:] {
-			n.SetLink(a, b, p.zoneLink().Plus(extra))
+			n.SetLink(a, b, p.zoneLink().Add(extra))
 		}
 		n.SetLink(a, CallerZone, shape.Link{Delay: p.CallerDelay})
 	}
--- a/transport/shape/alarm_other.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build !linux
-
-package shape
-
-func newPreciseAlarm() alarm { return newTimerAlarm() }
--- a/transport/shape/bench_test.go
+++ b/transport/shape/bench_test.go
@@ -14,7 +14,7 @@
 	n := NewNetwork(1)
 	defer n.Close()
 	n.SetLink("a", "b", Link{Delay: delay})
-	listener, err := n.Listen("127.0.0.1:0", far)
+	listener, err := n.Listen("127.0.0.1:0", endpointB)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 			go func() { _, _ = io.Copy(c, c) }()
 		}
 	}()
-	c, err := n.Dialer(near, KindCall)(context.Background(), "tcp", listener.Addr().String())
+	c, err := n.Dialer(endpointA, KindCall)(context.Background(), "tcp", listener.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/transport/shape/conn.go
+++ b/transport/shape/conn.go
@@ -21,10 +21,10 @@
 	raw           net.Conn
 	local, remote Endpoint
 
-	mu   sync.Mutex
-	cond *sync.Cond
-	in   *lane
-	out  *lane
+	mu       sync.Mutex
+	cond     *sync.Cond
+	inbound  *direction
+	outbound *direction
 	// flushing is set while one goroutine writes to raw.
 	flushing      bool
 	closed        bool
@@ -36,7 +36,7 @@
 
 // deadline wakes the waiters of a connection when it passes.
 type deadline struct {
-	at    time.Time
+	time  time.Time
 	timer *time.Timer
 }
 
@@ -44,13 +44,13 @@
 	if d.timer != nil {
 		d.timer.Stop()
 	}
-	d.at = at
+	d.time = at
 	if !at.IsZero() {
 		d.timer = time.AfterFunc(time.Until(at), wake)
 	}
 }
 
-func (d *deadline) passed() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
+func (d *deadline) passed() bool { return !d.time.IsZero() && !time.Now().Before(d.time) }
 
 func newConn(n *Network, raw net.Conn, local, remote Endpoint) *conn {
 	c := &conn{network: n, raw: raw, local: local, remote: remote}
@@ -68,19 +68,19 @@
 			return 0, net.ErrClosed
 		case c.readDeadline.passed():
 			return 0, os.ErrDeadlineExceeded
-		case c.arrived(c.in):
-			return c.take(p)
+		case c.headArrived(c.inbound):
+			return c.readQueued(p)
 		}
 		c.cond.Wait()
 	}
 }
 
-// arrived reports whether the head of the lane has passed the link.
-func (c *conn) arrived(l *lane) bool {
-	if len(l.queue) == 0 || time.Now().Before(l.queue[0].due) {
+// headArrived reports whether the head of the lane has passed the link.
+func (c *conn) headArrived(l *direction) bool {
+	if len(l.queue) == 0 || time.Now().Before(l.queue[0].arrival) {
 		return false
 	}
-	switch c.network.settings.Load().cut(l.from, l.to) {
+	switch c.network.conditions.Load().cutMode(l.from, l.to) {
 	case CutHold:
 		return false
 	case CutDrop:
@@ -91,35 +91,35 @@
 	}
 }
 
-// take copies from the head of the incoming lane. The end of the stream stays in the lane.
-func (c *conn) take(p []byte) (int, error) {
-	head := &c.in.queue[0]
+// readQueued copies from the head of the incoming lane. The end of the stream stays in the lane.
+func (c *conn) readQueued(p []byte) (int, error) {
+	head := &c.inbound.queue[0]
 	if head.err != nil {
 		return 0, head.err
 	}
 	n := copy(p, head.data)
 	head.data = head.data[n:]
-	c.in.bytes -= n
+	c.inbound.queuedBytes -= n
 	if len(head.data) == 0 {
-		c.in.pop()
+		c.inbound.pop()
 	}
-	c.schedule(c.in)
+	c.schedule(c.inbound)
 	c.cond.Broadcast()
 	return n, nil
 }
 
 // schedule wakes the lane's consumer when its head arrives.
-func (c *conn) schedule(l *lane) {
+func (c *conn) schedule(l *direction) {
 	if len(l.queue) == 0 {
 		return
 	}
 	wake := c.wakeReader
-	if l == c.out {
+	if l == c.outbound {
 		wake = c.wakeWriter
 	}
-	if due := l.queue[0].due; due.After(time.Now()) {
-		c.network.clock.at(due, wake)
-	} else if l == c.out {
+	if due := l.queue[0].arrival; due.After(time.Now()) {
+		c.network.scheduler.schedule(due, wake)
+	} else if l == c.outbound {
 		c.startFlush()
 	}
 }
@@ -139,7 +139,7 @@
 
 // startFlush writes what has arrived, on a goroutine because a full receiver blocks the write.
 func (c *conn) startFlush() {
-	if !c.flushing && c.arrived(c.out) {
+	if !c.flushing && c.headArrived(c.outbound) {
 		c.flushing = true
 		go c.flush()
 	}
@@ -148,23 +148,23 @@
 func (c *conn) flush() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.arrived(c.out) {
-		p := c.out.pop()
+	for c.headArrived(c.outbound) {
+		p := c.outbound.pop()
 		if p.err != nil {
-			c.shut()
+			c.closeRaw()
 			break
 		}
 		c.mu.Unlock()
 		_, err := c.raw.Write(p.data)
 		c.mu.Lock()
-		c.fail(err)
+		c.recordWriteError(err)
 		c.cond.Broadcast()
 	}
 	c.flushing = false
-	c.schedule(c.out)
+	c.schedule(c.outbound)
 }
 
-func (c *conn) fail(err error) {
+func (c *conn) recordWriteError(err error) {
 	if err != nil && c.writeErr == nil {
 		c.writeErr = err
 	}
@@ -174,29 +174,29 @@
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.out.bytes >= laneBytes && c.writable() == nil {
+	for c.outbound.queuedBytes >= maxQueuedBytes && c.writeStatus() == nil {
 		c.cond.Wait()
 	}
-	if err := c.writable(); err != nil {
+	if err := c.writeStatus(); err != nil {
 		return 0, err
 	}
-	c.out.count.Add(int64(len(p)))
-	if c.out.silent {
+	c.outbound.sentBytes.Add(int64(len(p)))
+	if c.outbound.broken {
 		return len(p), nil
 	}
-	s := c.network.settings.Load()
-	due := c.out.due(time.Now(), s.link(c.local, c.remote), len(p))
-	if c.direct(s, due) {
+	s := c.network.conditions.Load()
+	due := c.outbound.arrivalTime(time.Now(), s.link(c.local, c.remote), len(p))
+	if c.canWriteDirectly(s, due) {
 		return c.writeDirect(p)
 	}
-	c.out.push(packet{data: append([]byte(nil), p...), due: due})
-	if len(c.out.queue) == 1 {
-		c.schedule(c.out)
+	c.outbound.push(packet{data: append([]byte(nil), p...), arrival: due})
+	if len(c.outbound.queue) == 1 {
+		c.schedule(c.outbound)
 	}
 	return len(p), nil
 }
 
-func (c *conn) writable() error {
+func (c *conn) writeStatus() error {
 	switch {
 	case c.closed:
 		return net.ErrClosed
@@ -209,9 +209,9 @@
 	}
 }
 
-// direct reports whether a write needs no queue: the link has no delay and nothing is ahead of it.
-func (c *conn) direct(s *settings, due time.Time) bool {
-	return len(c.out.queue) == 0 && !c.flushing && !due.After(time.Now()) && s.cut(c.local, c.remote) == 0
+// canWriteDirectly reports whether a write needs no queue: the link has no delay and nothing is ahead of it.
+func (c *conn) canWriteDirectly(s *conditions, due time.Time) bool {
+	return len(c.outbound.queue) == 0 && !c.flushing && !due.After(time.Now()) && s.cutMode(c.local, c.remote) == 0
 }
 
 func (c *conn) writeDirect(p []byte) (int, error) {
@@ -220,21 +220,21 @@
 	n, err := c.raw.Write(p)
 	c.mu.Lock()
 	c.flushing = false
-	c.fail(err)
-	c.schedule(c.out)
+	c.recordWriteError(err)
+	c.schedule(c.outbound)
 	return n, err
 }
 
-// receive stamps incoming data with its arrival time until the connection ends.
-func (c *conn) receive() {
+// receiveLoop stamps incoming data with its arrival time until the connection ends.
+func (c *conn) receiveLoop() {
 	buffer := make([]byte, idleReadBytes)
 	for {
 		n, err := c.raw.Read(buffer)
 		if n > 0 {
-			c.accept(buffer[:n])
+			c.queueInbound(buffer[:n])
 		}
 		if err != nil {
-			c.finish(err)
+			c.queueEnd(err)
 			return
 		}
 		if n == len(buffer) && n < busyReadBytes {
@@ -243,34 +243,34 @@
 	}
 }
 
-func (c *conn) accept(data []byte) {
+func (c *conn) queueInbound(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.in.bytes >= laneBytes && !c.closed {
+	for c.inbound.queuedBytes >= maxQueuedBytes && !c.closed {
 		c.cond.Wait()
 	}
-	c.in.count.Add(int64(len(data)))
-	c.arrive(packet{data: append([]byte(nil), data...)})
+	c.inbound.sentBytes.Add(int64(len(data)))
+	c.pushInbound(packet{data: append([]byte(nil), data...)})
 }
 
-// finish passes the end of the stream through the link, so that a partition hides it too.
-func (c *conn) finish(err error) {
+// queueEnd passes the end of the stream through the link, so that a partition hides it too.
+func (c *conn) queueEnd(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.arrive(packet{err: err})
+	c.pushInbound(packet{err: err})
 }
 
-func (c *conn) arrive(p packet) {
-	if c.closed || c.in.silent {
+func (c *conn) pushInbound(p packet) {
+	if c.closed || c.inbound.broken {
 		return
 	}
-	link := c.network.settings.Load().link(c.remote, c.local)
-	p.due = c.in.due(time.Now(), link, len(p.data))
-	c.in.push(p)
-	if len(c.in.queue) > 1 {
+	link := c.network.conditions.Load().link(c.remote, c.local)
+	p.arrival = c.inbound.arrivalTime(time.Now(), link, len(p.data))
+	c.inbound.push(p)
+	if len(c.inbound.queue) > 1 {
 		return
 	}
-	c.schedule(c.in)
+	c.schedule(c.inbound)
 	c.cond.Broadcast()
 }
 
@@ -278,12 +278,12 @@
 func (c *conn) resume() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.network.settings.Load()
-	for _, l := range []*lane{c.in, c.out} {
-		if s.cut(l.from, l.to) != 0 || len(l.queue) == 0 || l.queue[0].due.After(time.Now()) {
+	s := c.network.conditions.Load()
+	for _, l := range []*direction{c.inbound, c.outbound} {
+		if s.cutMode(l.from, l.to) != 0 || len(l.queue) == 0 || l.queue[0].arrival.After(time.Now()) {
 			continue
 		}
-		l.postpone(time.Now().Add(s.link(l.from, l.to).Delay))
+		l.delayUntil(time.Now().Add(s.link(l.from, l.to).Delay))
 		c.schedule(l)
 	}
 	c.cond.Broadcast()
@@ -297,16 +297,16 @@
 		return net.ErrClosed
 	}
 	c.closed = true
-	c.in.queue = nil
-	c.in.bytes = 0
+	c.inbound.queue = nil
+	c.inbound.queuedBytes = 0
 	c.cond.Broadcast()
-	if c.out.silent {
+	if c.outbound.broken {
 		return nil
 	}
-	link := c.network.settings.Load().link(c.local, c.remote)
-	c.out.push(packet{err: io.EOF, due: c.out.due(time.Now(), link, 0)})
-	if len(c.out.queue) == 1 {
-		c.schedule(c.out)
+	link := c.network.conditions.Load().link(c.local, c.remote)
+	c.outbound.push(packet{err: io.EOF, arrival: c.outbound.arrivalTime(time.Now(), link, 0)})
+	if len(c.outbound.queue) == 1 {
+		c.schedule(c.outbound)
 	}
 	return nil
 }
@@ -319,13 +319,13 @@
 	_ = c.Close()
 }
 
-// shut ends the raw connection after the last data.
-func (c *conn) shut() {
+// closeRaw ends the raw connection after the last data.
+func (c *conn) closeRaw() {
 	if tcp, ok := c.raw.(*net.TCPConn); ok && c.reset {
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.raw.Close()
-	go c.network.forget(c)
+	go c.network.removeConn(c)
 }
 
 // destroy closes both ends at once, regardless of delays and partitions.
@@ -334,7 +334,7 @@
 	defer c.mu.Unlock()
 	c.closed = true
 	c.cond.Broadcast()
-	c.shut()
+	c.closeRaw()
 }
 
 // LocalAddr implements net.Conn.
--- a/transport/shape/dispatcher.go
+++ b/transport/shape/scheduler.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// alarm wakes one waiting goroutine after a time that can be changed while it waits.
-type alarm interface {
+// waker wakes one waiting goroutine after a time that can be changed while it waits.
+type waker interface {
 	// set replaces the time of the next wake-up.
 	set(d time.Duration)
 	// wait returns after the time that was set last. It may return early.
@@ -15,45 +15,45 @@
 	close()
 }
 
-// atOnce wakes the waiter without a wait.
-const atOnce = time.Nanosecond
+// immediately wakes the waiter without a wait.
+const immediately = time.Nanosecond
 
-// timerAlarm uses a runtime timer. On an idle Linux process these are late by up to a millisecond.
-type timerAlarm struct {
-	timer *time.Timer
-	now   chan struct{}
+// timerWaker uses a runtime timer. On an idle Linux process these are late by up to a millisecond.
+type timerWaker struct {
+	timer   *time.Timer
+	wakeNow chan struct{}
 }
 
-func newTimerAlarm() alarm {
+func newTimerWaker() waker {
 	timer := time.NewTimer(time.Hour)
 	timer.Stop()
-	return timerAlarm{timer, make(chan struct{}, 1)}
+	return timerWaker{timer, make(chan struct{}, 1)}
 }
 
 // set needs no timer for atOnce, because fake time stands still when a test ends.
-func (a timerAlarm) set(d time.Duration) {
-	if d > atOnce {
+func (a timerWaker) set(d time.Duration) {
+	if d > immediately {
 		a.timer.Reset(d)
 		return
 	}
 	select {
-	case a.now <- struct{}{}:
+	case a.wakeNow <- struct{}{}:
 	default:
 	}
 }
 
-func (a timerAlarm) wait() {
+func (a timerWaker) wait() {
 	select {
 	case <-a.timer.C:
-	case <-a.now:
+	case <-a.wakeNow:
 	}
 }
 
-func (a timerAlarm) close() { a.timer.Stop() }
+func (a timerWaker) close() { a.timer.Stop() }
 
 type event struct {
-	at   time.Time
-	fire func()
+	at  time.Time
+	run func()
 }
 
 type eventHeap []event
@@ -70,44 +70,44 @@
 	return popped
 }
 
-// dispatcher runs short functions at exact times on one goroutine for all connections.
-type dispatcher struct {
-	// alarm is set with the mutex held, so that it always belongs to the first event.
-	alarm alarm
+// scheduler runs short functions at exact times on one goroutine for all connections.
+type scheduler struct {
+	// waker is set with the mutex held, so that it always belongs to the first event.
+	waker waker
 
 	mu     sync.Mutex
 	events eventHeap
 	closed bool
 }
 
-func newDispatcher(a alarm) *dispatcher {
-	d := &dispatcher{alarm: a}
+func newScheduler(a waker) *scheduler {
+	d := &scheduler{waker: a}
 	go d.run()
 	return d
 }
 
-// at schedules fire, which must not block.
-func (d *dispatcher) at(t time.Time, fire func()) {
+// schedule schedules fire, which must not block.
+func (d *scheduler) schedule(t time.Time, fire func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
 		return
 	}
 	if len(d.events) == 0 || t.Before(d.events[0].at) {
-		d.alarm.set(max(time.Until(t), atOnce))
+		d.waker.set(max(time.Until(t), immediately))
 	}
 	heap.Push(&d.events, event{t, fire})
 }
 
-func (d *dispatcher) close() {
+func (d *scheduler) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.closed = true
-	d.alarm.set(atOnce)
+	d.waker.set(immediately)
 }
 
-func (d *dispatcher) run() {
-	defer d.alarm.close()
+func (d *scheduler) run() {
+	defer d.waker.close()
 	for {
 		fire, closed := d.next()
 		switch {
@@ -116,21 +116,21 @@
 		case fire != nil:
 			fire()
 		default:
-			d.alarm.wait()
+			d.waker.wait()
 		}
 	}
 }
 
 // next returns the function that is due, or sets the alarm for the first event.
-func (d *dispatcher) next() (fire func(), closed bool) {
+func (d *scheduler) next() (fire func(), closed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed || len(d.events) == 0 {
 		return nil, d.closed
 	}
 	if wait := time.Until(d.events[0].at); wait > 0 {
-		d.alarm.set(wait)
+		d.waker.set(wait)
 		return nil, false
 	}
-	return heap.Pop(&d.events).(event).fire, false
+	return heap.Pop(&d.events).(event).run, false
 }
--- a/transport/shape/shape.go
+++ b/transport/shape/shape.go
@@ -65,44 +65,44 @@
 	Bytes    int64
 }
 
-type pair struct{ from, to string }
+type zonePair struct{ from, to string }
 
 type countKey struct {
-	pair
+	zonePair
 	kind Kind
 }
 
-// settings is an immutable view, so that the data path reads it without a lock.
-type settings struct {
-	links     map[pair]Link
-	extra     map[string]Link
-	zones     map[string]CutMode
-	processes map[string]CutMode
+// conditions is an immutable view, so that the data path reads it without a lock.
+type conditions struct {
+	links        map[zonePair]Link
+	extraByZone  map[string]Link
+	cutZones     map[string]CutMode
+	cutProcesses map[string]CutMode
 }
 
 // link returns the current properties of one direction.
-func (s *settings) link(from, to Endpoint) Link {
-	l := s.links[pair{from.Zone, to.Zone}]
+func (s *conditions) link(from, to Endpoint) Link {
+	l := s.links[zonePair{from.Zone, to.Zone}]
 	if from.Zone == to.Zone {
 		return l
 	}
-	return l.Plus(s.extra[from.Zone]).Plus(s.extra[to.Zone])
+	return l.Add(s.extraByZone[from.Zone]).Add(s.extraByZone[to.Zone])
 }
 
-// cut returns the mode of the partition between two endpoints, or zero.
-func (s *settings) cut(a, b Endpoint) CutMode {
+// cutMode returns the mode of the partition between two endpoints, or zero.
+func (s *conditions) cutMode(a, b Endpoint) CutMode {
 	var mode CutMode
 	if a.Zone != b.Zone {
-		mode = max(s.zones[a.Zone], s.zones[b.Zone])
+		mode = max(s.cutZones[a.Zone], s.cutZones[b.Zone])
 	}
 	if a.Process != b.Process {
-		mode = max(mode, s.processes[a.Process], s.processes[b.Process])
+		mode = max(mode, s.cutProcesses[a.Process], s.cutProcesses[b.Process])
 	}
 	return mode
 }
 
-// Plus returns a link with the properties of both.
-func (l Link) Plus(other Link) Link {
+// Add returns a link with the properties of both.
+func (l Link) Add(other Link) Link {
 	return Link{
 		Delay:      l.Delay + other.Delay,
 		Jitter:     l.Jitter + other.Jitter,
@@ -114,33 +114,33 @@
 // Network holds the links, partitions and counts that all connections of one emulated deployment share. It is safe
 // for concurrent use, and all settings apply to open connections at once.
 type Network struct {
-	seed     int64
-	clock    *dispatcher
-	settings atomic.Pointer[settings]
+	seed       int64
+	scheduler  *scheduler
+	conditions atomic.Pointer[conditions]
 
 	mu        sync.Mutex
 	addresses map[string]Endpoint
 	counts    map[countKey]*atomic.Int64
 	conns     map[*conn]struct{}
-	sequence  map[Endpoint]int64
+	opened    map[Endpoint]int64
 	healed    chan struct{}
 	closed    bool
 }
 
 // NewNetwork returns a network without delays. Close releases its goroutine.
-func NewNetwork(seed int64) *Network { return newNetwork(seed, newPreciseAlarm()) }
+func NewNetwork(seed int64) *Network { return newNetwork(seed, newPreciseWaker()) }
 
-func newNetwork(seed int64, a alarm) *Network {
+func newNetwork(seed int64, a waker) *Network {
 	n := &Network{
 		seed:      seed,
-		clock:     newDispatcher(a),
+		scheduler: newScheduler(a),
 		addresses: make(map[string]Endpoint),
 		counts:    make(map[countKey]*atomic.Int64),
 		conns:     make(map[*conn]struct{}),
-		sequence:  make(map[Endpoint]int64),
+		opened:    make(map[Endpoint]int64),
 		healed:    make(chan struct{}),
 	}
-	n.settings.Store(&settings{})
+	n.conditions.Store(&conditions{})
 	return n
 }
 
@@ -149,37 +149,37 @@
 	n.mu.Lock()
 	n.closed = true
 	n.mu.Unlock()
-	for _, c := range n.open() {
+	for _, c := range n.openConns() {
 		c.destroy()
 	}
-	n.clock.close()
+	n.scheduler.close()
 }
 
-func (n *Network) open() []*conn {
+func (n *Network) openConns() []*conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Collect(maps.Keys(n.conns))
 }
 
-func (n *Network) forget(c *conn) {
+func (n *Network) removeConn(c *conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, c)
 }
 
-// change replaces the settings by a changed copy.
-func (n *Network) change(edit func(s *settings)) {
+// updateConditions replaces the settings by a changed copy.
+func (n *Network) updateConditions(edit func(s *conditions)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	old := n.settings.Load()
-	next := &settings{
-		links:     cloneOrMake(old.links),
-		extra:     cloneOrMake(old.extra),
-		zones:     cloneOrMake(old.zones),
-		processes: cloneOrMake(old.processes),
+	old := n.conditions.Load()
+	next := &conditions{
+		links:        cloneOrMake(old.links),
+		extraByZone:  cloneOrMake(old.extraByZone),
+		cutZones:     cloneOrMake(old.cutZones),
+		cutProcesses: cloneOrMake(old.cutProcesses),
 	}
 	edit(next)
-	n.settings.Store(next)
+	n.conditions.Store(next)
 }
 
 func cloneOrMake[K comparable, V any](m map[K]V) map[K]V {
@@ -189,13 +189,13 @@
 	return maps.Clone(m)
 }
 
-// resume releases what waits for a partition to heal.
-func (n *Network) resume() {
+// releaseHeld releases what waits for a partition to heal.
+func (n *Network) releaseHeld() {
 	n.mu.Lock()
 	close(n.healed)
 	n.healed = make(chan struct{})
 	n.mu.Unlock()
-	for _, c := range n.open() {
+	for _, c := range n.openConns() {
 		c.resume()
 	}
 }
@@ -219,47 +219,47 @@
 
 // SetLink sets both directions between two zones.
 func (n *Network) SetLink(a, b string, l Link) {
-	n.change(func(s *settings) {
-		s.links[pair{a, b}] = l
-		s.links[pair{b, a}] = l
+	n.updateConditions(func(s *conditions) {
+		s.links[zonePair{a, b}] = l
+		s.links[zonePair{b, a}] = l
 	})
 }
 
 // SetDirection sets one direction between two zones.
 func (n *Network) SetDirection(from, to string, l Link) {
-	n.change(func(s *settings) { s.links[pair{from, to}] = l })
+	n.updateConditions(func(s *conditions) { s.links[zonePair{from, to}] = l })
 }
 
 // SlowZone adds a link's properties to every direction into and out of a zone. A zero Link ends it.
 func (n *Network) SlowZone(zone string, add Link) {
-	n.change(func(s *settings) { s.extra[zone] = add })
+	n.updateConditions(func(s *conditions) { s.extraByZone[zone] = add })
 }
 
 // CutZone partitions a zone from all other zones without an error on either side.
 func (n *Network) CutZone(zone string, mode CutMode) {
-	n.change(func(s *settings) { s.zones[zone] = mode })
+	n.updateConditions(func(s *conditions) { s.cutZones[zone] = mode })
 }
 
 // HealZone ends the partition of a zone.
 func (n *Network) HealZone(zone string) {
-	n.change(func(s *settings) { delete(s.zones, zone) })
-	n.resume()
+	n.updateConditions(func(s *conditions) { delete(s.cutZones, zone) })
+	n.releaseHeld()
 }
 
 // CutProcess partitions one process from all others without an error on either side.
 func (n *Network) CutProcess(process string, mode CutMode) {
-	n.change(func(s *settings) { s.processes[process] = mode })
+	n.updateConditions(func(s *conditions) { s.cutProcesses[process] = mode })
 }
 
 // HealProcess ends the partition of a process.
 func (n *Network) HealProcess(process string) {
-	n.change(func(s *settings) { delete(s.processes, process) })
-	n.resume()
+	n.updateConditions(func(s *conditions) { delete(s.cutProcesses, process) })
+	n.releaseHeld()
 }
 
 // Abort closes all connections that a process dialed, as the kernel does when a process dies.
 func (n *Network) Abort(process string) {
-	for _, c := range n.open() {
+	for _, c := range n.openConns() {
 		if c.local.Process == process {
 			c.abort()
 		}
@@ -304,14 +304,14 @@
 func (n *Network) Wrap(raw net.Conn, local, remote Endpoint, kind Kind) net.Conn {
 	c := newConn(n, raw, local, remote)
 	n.mu.Lock()
-	n.sequence[local]++
-	ordinal := n.sequence[local]
-	c.out = &lane{from: local, to: remote, count: n.counter(local, remote, kind)}
-	c.in = &lane{from: remote, to: local, count: n.counter(remote, local, kind)}
+	n.opened[local]++
+	ordinal := n.opened[local]
+	c.outbound = &direction{from: local, to: remote, sentBytes: n.counter(local, remote, kind)}
+	c.inbound = &direction{from: remote, to: local, sentBytes: n.counter(remote, local, kind)}
 	n.mu.Unlock()
 	// Many connections open at once, so that this work is kept out of the lock.
-	c.out.rng = n.laneRand(c.out, ordinal)
-	c.in.rng = n.laneRand(c.in, ordinal)
+	c.outbound.rng = n.newRand(c.outbound, ordinal)
+	c.inbound.rng = n.newRand(c.inbound, ordinal)
 	n.mu.Lock()
 	n.conns[c] = struct{}{}
 	closed := n.closed
@@ -319,21 +319,21 @@
 	if closed {
 		_ = raw.Close()
 	}
-	go c.receive()
+	go c.receiveLoop()
 	return c
 }
 
 func (n *Network) counter(from, to Endpoint, kind Kind) *atomic.Int64 {
-	key := countKey{pair{from.Zone, to.Zone}, kind}
+	key := countKey{zonePair{from.Zone, to.Zone}, kind}
 	if n.counts[key] == nil {
 		n.counts[key] = new(atomic.Int64)
 	}
 	return n.counts[key]
 }
 
-// laneRand returns the generator of one direction. It depends on the ordinal among the connections of the process that
+// newRand returns the generator of one direction. It depends on the ordinal among the connections of the process that
 // opened it only, so that connections elsewhere do not change it.
-func (n *Network) laneRand(l *lane, ordinal int64) *rand.Rand {
+func (n *Network) newRand(l *direction, ordinal int64) *rand.Rand {
 	hash := fnv.New64a()
 	for _, text := range []string{l.from.Zone, l.from.Process, l.to.Zone, l.to.Process} {
 		_, _ = io.WriteString(hash, text)
@@ -357,8 +357,8 @@
 		n.mu.Lock()
 		healed := n.healed
 		n.mu.Unlock()
-		s := n.settings.Load()
-		if s.cut(local, remote) == 0 {
+		s := n.conditions.Load()
+		if s.cutMode(local, remote) == 0 {
 			return sleepContext(ctx, s.link(local, remote).Delay+s.link(remote, local).Delay)
 		}
 		select {
--- a/transport/shape/shape_test.go
+++ b/transport/shape/shape_test.go
@@ -15,31 +15,31 @@
 	. "github.com/onsi/gomega"
 )
 
-// suite is needed by synctest, which takes no other type.
-var suite *testing.T
+// testingT is needed by synctest, which takes no other type.
+var testingT *testing.T
 
 func TestShape(t *testing.T) {
-	suite = t
+	testingT = t
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "shape")
 }
 
 var (
-	near = Endpoint{Zone: "a", Process: "p"}
-	far  = Endpoint{Zone: "b", Process: "q"}
+	endpointA = Endpoint{Zone: "a", Process: "p"}
+	endpointB = Endpoint{Zone: "b", Process: "q"}
 )
 
-// inBubble runs f with fake time, a network that uses only runtime timers, and both ends of a shaped connection.
-func inBubble(link Link, f func(n *Network, local, remote net.Conn)) {
+// withFakeTime runs f with fake time, a network that uses only runtime timers, and both ends of a shaped connection.
+func withFakeTime(link Link, f func(n *Network, local, remote net.Conn)) {
 	GinkgoHelper()
-	synctest.Test(suite, func(*testing.T) {
+	synctest.Test(testingT, func(*testing.T) {
 		defer GinkgoRecover()
-		n := newNetwork(1, newTimerAlarm())
+		n := newNetwork(1, newTimerWaker())
 		n.SetLink("a", "b", link)
 		raw, remote := net.Pipe()
 		defer n.Close()
 		defer remote.Close()
-		f(n, n.Wrap(raw, near, far, KindCall), remote)
+		f(n, n.Wrap(raw, endpointA, endpointB, KindCall), remote)
 	})
 }
 
@@ -58,8 +58,8 @@
 	return string(data)
 }
 
-// silent expects that nothing arrives within an hour.
-func silent(c net.Conn) {
+// expectNothingArrives expects that nothing arrives within an hour.
+func expectNothingArrives(c net.Conn) {
 	GinkgoHelper()
 	Expect(c.SetReadDeadline(time.Now().Add(time.Hour))).To(Succeed())
 	_, err := c.Read(make([]byte, 1))
@@ -70,7 +70,7 @@
 var _ = Describe("Wrap", func() {
 	// Guards against a delay that is applied once per round trip, or adds up over writes that are in flight together.
 	It("delays each direction by exactly the link's delay", func() {
-		inBubble(Link{Delay: 4 * time.Millisecond}, func(_ *Network, local, remote net.Conn) {
+		withFakeTime(Link{Delay: 4 * time.Millisecond}, func(_ *Network, local, remote net.Conn) {
 			start := time.Now()
 			send(local, "one")
 			time.Sleep(time.Millisecond)
@@ -88,7 +88,7 @@
 	// Guards against bytes that overtake each other when delays vary or change.
 	It("keeps the order of bytes under jitter, loss and changing delays", func() {
 		link := Link{Delay: 5 * time.Millisecond, Jitter: 5 * time.Millisecond, Loss: 0.2}
-		inBubble(link, func(n *Network, local, remote net.Conn) {
+		withFakeTime(link, func(n *Network, local, remote net.Conn) {
 			rng := rand.New(rand.NewPCG(1, 1))
 			want := make([]byte, 200_000)
 			for i := range want {
@@ -109,7 +109,7 @@
 
 	// Guards against losses that have no effect, or that appear as errors.
 	It("shows a loss as a retransmission delay", func() {
-		inBubble(Link{Delay: time.Millisecond, Loss: 1, Retransmit: 10 * time.Millisecond}, func(_ *Network, local, remote net.Conn) {
+		withFakeTime(Link{Delay: time.Millisecond, Loss: 1, Retransmit: 10 * time.Millisecond}, func(_ *Network, local, remote net.Conn) {
 			start := time.Now()
 			send(local, "lost")
 			Expect(receive(remote, 4)).To(Equal("lost"))
@@ -119,12 +119,12 @@
 
 	// Guards against a partition that is visible as an error, works in one direction only or loses held data.
 	It("holds data in both directions during a partition and delivers it afterwards", func() {
-		inBubble(Link{Delay: 4 * time.Millisecond}, func(n *Network, local, remote net.Conn) {
+		withFakeTime(Link{Delay: 4 * time.Millisecond}, func(n *Network, local, remote net.Conn) {
 			n.CutZone("b", CutHold)
 			send(local, "held")
 			send(remote, "back")
-			silent(local)
-			silent(remote)
+			expectNothingArrives(local)
+			expectNothingArrives(remote)
 			healed := time.Now()
 			n.HealZone("b")
 			Expect(receive(remote, 4)).To(Equal("held"))
@@ -135,22 +135,22 @@
 
 	// Guards against a connection that continues after a gap in its bytes.
 	It("stays silent after a partition dropped data", func() {
-		inBubble(Link{}, func(n *Network, local, remote net.Conn) {
+		withFakeTime(Link{}, func(n *Network, local, remote net.Conn) {
 			n.CutProcess("q", CutDrop)
 			send(local, "gone")
-			silent(remote)
+			expectNothingArrives(remote)
 			n.HealProcess("q")
 			send(local, "after")
-			silent(remote)
+			expectNothingArrives(remote)
 		})
 	})
 
 	// Guards against a close that crosses a partition, which would tell the other side at once.
 	It("hides a close until the partition heals", func() {
-		inBubble(Link{Delay: time.Millisecond}, func(n *Network, local, remote net.Conn) {
+		withFakeTime(Link{Delay: time.Millisecond}, func(n *Network, local, remote net.Conn) {
 			n.CutZone("a", CutHold)
 			Expect(local.Close()).To(Succeed())
-			silent(remote)
+			expectNothingArrives(remote)
 			n.HealZone("a")
 			_, err := remote.Read(make([]byte, 1))
 			Expect(err).To(MatchError(io.EOF))
@@ -159,7 +159,7 @@
 
 	// Guards against processes of the healthy side that a zone's partition affects.
 	It("cuts only the named zone or process", func() {
-		inBubble(Link{}, func(n *Network, local, remote net.Conn) {
+		withFakeTime(Link{}, func(n *Network, local, remote net.Conn) {
 			n.CutZone("c", CutHold)
 			n.CutProcess("r", CutHold)
 			go send(local, "through")
@@ -169,24 +169,24 @@
 
 	// Guards against a writer that never blocks and so buffers without limit during a partition.
 	It("blocks a writer when too much is in flight, and obeys its deadline", func() {
-		inBubble(Link{Delay: time.Millisecond}, func(n *Network, local, _ net.Conn) {
+		withFakeTime(Link{Delay: time.Millisecond}, func(n *Network, local, _ net.Conn) {
 			n.CutZone("b", CutHold)
 			Expect(local.SetWriteDeadline(time.Now().Add(time.Minute))).To(Succeed())
 			var err error
 			written := 0
-			for err == nil && written < 4*laneBytes {
+			for err == nil && written < 4*maxQueuedBytes {
 				var count int
 				count, err = local.Write(make([]byte, 64<<10))
 				written += count
 			}
 			Expect(err).To(MatchError(os.ErrDeadlineExceeded))
-			Expect(written).To(Equal(laneBytes))
+			Expect(written).To(Equal(maxQueuedBytes))
 		})
 	})
 
 	// Guards against counts that mix up zones, kinds or directions.
 	It("counts bytes per pair of zones and kind", func() {
-		inBubble(Link{}, func(n *Network, local, remote net.Conn) {
+		withFakeTime(Link{}, func(n *Network, local, remote net.Conn) {
 			go send(local, "12345")
 			receive(remote, 5)
 			go send(remote, "123")
@@ -198,13 +198,13 @@
 	// Guards against runs that differ under the same seed.
 	It("draws the same delays for the same seed", func() {
 		draw := func(seed int64) (delays []time.Duration) {
-			n := newNetwork(seed, newTimerAlarm())
+			n := newNetwork(seed, newTimerWaker())
 			defer n.Close()
-			l := &lane{from: near, to: far}
-			l.rng = n.laneRand(l, 1)
+			l := &direction{from: endpointA, to: endpointB}
+			l.rng = n.newRand(l, 1)
 			now := time.Now()
 			for range 20 {
-				delays = append(delays, l.due(now, Link{Jitter: time.Second, Loss: 0.1}, 5000).Sub(now))
+				delays = append(delays, l.arrivalTime(now, Link{Jitter: time.Second, Loss: 0.1}, 5000).Sub(now))
 			}
 			return delays
 		}
@@ -219,7 +219,7 @@
 		n := NewNetwork(1)
 		defer n.Close()
 		n.SetLink("a", "b", Link{Delay: 2 * time.Millisecond, Jitter: time.Millisecond})
-		listener, err := n.Listen("127.0.0.1:0", far)
+		listener, err := n.Listen("127.0.0.1:0", endpointB)
 		Expect(err).NotTo(HaveOccurred())
 		defer listener.Close()
 		go func() {
@@ -234,11 +234,11 @@
 		n.CutProcess("q", CutHold)
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 		defer cancel()
-		_, err = n.Dialer(near, KindCall)(ctx, "tcp", listener.Addr().String())
+		_, err = n.Dialer(endpointA, KindCall)(ctx, "tcp", listener.Addr().String())
 		Expect(err).To(MatchError(context.DeadlineExceeded))
 		n.HealProcess("q")
 
-		c, err := n.Dialer(near, KindCall)(context.Background(), "tcp", listener.Addr().String())
+		c, err := n.Dialer(endpointA, KindCall)(context.Background(), "tcp", listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		want := bytes.Repeat([]byte("0123456789"), 1<<18)
 		go func() { _, _ = c.Write(want) }()
--- /dev/null
+++ b/transport/shape/waker_other.go
@@ -0,0 +1,5 @@
+//go:build !linux
+
+package shape
+
+func newPreciseWaker() alarm { return newTimerAlarm() }
