--- a/transport/shape/bench_test.go
+++ b/transport/shape/bench_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// BenchmarkRoundTrip reports how much later than twice the one-way delay an echo arrives.
+// BenchmarkRoundTrip measures the lateness of an echo: its round-trip time minus twice the one-way delay.
 func BenchmarkRoundTrip(b *testing.B) {
 	const delay = 4 * time.Millisecond
 	n := NewNetwork(1)
--- a/transport/shape/conn.go
+++ b/transport/shape/conn.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// idleReadBytes keeps the buffer of an idle connection small, because thousands of them are open at once.
+	// idleReadBytes is the size of the first read buffer. It is small because thousands of idle connections are open at
+	// once. A connection that fills it gets a buffer of busyReadBytes.
 	idleReadBytes = 1 << 10
 	busyReadBytes = 32 << 10
 )
 
-// conn shapes a connection. It has one goroutine, which stamps the arrival of incoming data; outgoing data is written
-// by short goroutines that exist only while data is due.
+// conn is a shaped connection. One goroutine reads from the raw connection and sets the arrival time of inbound data.
+// Outbound data is written by a goroutine that runs only while data is due.
 type conn struct {
 	network       *Network
 	raw           net.Conn
@@ -25,7 +26,7 @@
 	cond     *sync.Cond
 	inbound  *direction
 	outbound *direction
-	// flushing is set while one goroutine writes to raw.
+	// flushing is set while a goroutine writes to raw.
 	flushing      bool
 	closed        bool
 	reset         bool
@@ -34,7 +35,7 @@
 	writeDeadline deadline
 }
 
-// deadline wakes the waiters of a connection when it passes.
+// deadline is a read or write deadline. It wakes the waiting goroutines of a connection when it passes.
 type deadline struct {
 	time  time.Time
 	timer *time.Timer
@@ -75,7 +76,8 @@
 	}
 }
 
-// headArrived reports whether the head of the lane has passed the link.
+// headArrived reports whether the first queued packet has arrived and no partition blocks it. If a partition drops
+// data, it discards the queue.
 func (c *conn) headArrived(l *direction) bool {
 	if len(l.queue) == 0 || time.Now().Before(l.queue[0].arrival) {
 		return false
@@ -91,7 +93,7 @@
 	}
 }
 
-// readQueued copies from the head of the incoming lane. The end of the stream stays in the lane.
+// readQueued copies data from the first inbound packet. The end of the stream stays in the queue.
 func (c *conn) readQueued(p []byte) (int, error) {
 	head := &c.inbound.queue[0]
 	if head.err != nil {
@@ -108,7 +110,7 @@
 	return n, nil
 }
 
-// schedule wakes the lane's consumer when its head arrives.
+// schedule wakes the reader of inbound data, or the writer of outbound data, when the first packet arrives.
 func (c *conn) schedule(l *direction) {
 	if len(l.queue) == 0 {
 		return
@@ -124,7 +126,8 @@
 	}
 }
 
-// wakeReader takes the mutex so that a reader that is about to wait does not miss the wake-up.
+// wakeReader wakes all waiting goroutines. It locks the mutex so that a goroutine that is about to wait does not miss
+// the wake-up.
 func (c *conn) wakeReader() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,7 +140,8 @@
 	c.startFlush()
 }
 
-// startFlush writes what has arrived, on a goroutine because a full receiver blocks the write.
+// startFlush starts writing the outbound data that has arrived, on a goroutine because a slow receiver blocks the
+// write.
 func (c *conn) startFlush() {
 	if !c.flushing && c.headArrived(c.outbound) {
 		c.flushing = true
@@ -145,6 +149,7 @@
 	}
 }
 
+// flush writes the outbound packets that have arrived to the raw connection, and closes it at the end of the stream.
 func (c *conn) flush() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -164,13 +169,14 @@
 	c.schedule(c.outbound)
 }
 
+// recordWriteError keeps the first write error, which later writes return.
 func (c *conn) recordWriteError(err error) {
 	if err != nil && c.writeErr == nil {
 		c.writeErr = err
 	}
 }
 
-// Write implements net.Conn. It returns when the link has taken the data.
+// Write implements net.Conn. It returns when the data is queued for the link, or written if the link needs no queue.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,6 +202,7 @@
 	return len(p), nil
 }
 
+// writeStatus returns the error that a write must return now, if any.
 func (c *conn) writeStatus() error {
 	switch {
 	case c.closed:
@@ -209,11 +216,13 @@
 	}
 }
 
-// canWriteDirectly reports whether a write needs no queue: the link has no delay and nothing is ahead of it.
+// canWriteDirectly reports whether a write needs no queue: the link adds no delay, no earlier data is queued or being
+// written, and no partition blocks it.
 func (c *conn) canWriteDirectly(s *conditions, due time.Time) bool {
 	return len(c.outbound.queue) == 0 && !c.flushing && !due.After(time.Now()) && s.cutMode(c.local, c.remote) == 0
 }
 
+// writeDirect writes to the raw connection and unlocks the mutex meanwhile.
 func (c *conn) writeDirect(p []byte) (int, error) {
 	c.flushing = true
 	c.mu.Unlock()
@@ -225,7 +234,7 @@
 	return n, err
 }
 
-// receiveLoop stamps incoming data with its arrival time until the connection ends.
+// receiveLoop reads from the raw connection and queues the data until the connection ends.
 func (c *conn) receiveLoop() {
 	buffer := make([]byte, idleReadBytes)
 	for {
@@ -243,6 +252,7 @@
 	}
 }
 
+// queueInbound queues received data. It waits while too much is queued.
 func (c *conn) queueInbound(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -253,13 +263,14 @@
 	c.pushInbound(packet{data: append([]byte(nil), data...)})
 }
 
-// queueEnd passes the end of the stream through the link, so that a partition hides it too.
+// queueEnd queues the end of the stream, so that the link delays it and a partition hides it.
 func (c *conn) queueEnd(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pushInbound(packet{err: err})
 }
 
+// pushInbound sets the arrival time of a packet and queues it.
 func (c *conn) pushInbound(p packet) {
 	if c.closed || c.inbound.broken {
 		return
@@ -274,7 +285,8 @@
 	c.cond.Broadcast()
 }
 
-// resume continues after a partition healed. Held data arrives one delay later, as if retransmitted at once.
+// resume continues after a partition has healed. Held data arrives one link delay later, as if it were retransmitted at
+// once.
 func (c *conn) resume() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -289,7 +301,7 @@
 	c.cond.Broadcast()
 }
 
-// Close implements net.Conn. The remote end sees it after the data in flight and after any partition.
+// Close implements net.Conn. The remote end sees the close after the data in flight, and after the end of a partition.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -311,7 +323,7 @@
 	return nil
 }
 
-// abort closes the connection with a reset, as the kernel does for a process that died.
+// abort closes the connection with a TCP reset, as the kernel does for a process that crashed.
 func (c *conn) abort() {
 	c.mu.Lock()
 	c.reset = true
@@ -319,7 +331,7 @@
 	_ = c.Close()
 }
 
-// closeRaw ends the raw connection after the last data.
+// closeRaw closes the raw connection, with a TCP reset after abort, and removes the connection from the network.
 func (c *conn) closeRaw() {
 	if tcp, ok := c.raw.(*net.TCPConn); ok && c.reset {
 		_ = tcp.SetLinger(0)
@@ -328,7 +340,7 @@
 	go c.network.removeConn(c)
 }
 
-// destroy closes both ends at once, regardless of delays and partitions.
+// destroy closes both ends immediately, without delay and despite partitions.
 func (c *conn) destroy() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/transport/shape/direction.go
+++ b/transport/shape/direction.go
@@ -9,15 +9,16 @@
 const (
 	// segmentBytes is the usual TCP payload of an Ethernet frame.
 	segmentBytes = 1460
-	// minRetransmit keeps the first retransmission realistic on links with little delay.
+	// minRetransmit is the least default delay of a first retransmission, because TCP does not retransmit at once on links
+	// with little delay either.
 	minRetransmit = 20 * time.Millisecond
-	// maxSegmentLosses bounds the doublings of the retransmission delay.
+	// maxSegmentLosses bounds how often one segment is lost, and with it the doublings of the retransmission delay.
 	maxSegmentLosses = 5
 	// maxQueuedBytes bounds the data in flight per direction, like a send buffer. Writers wait beyond it.
 	maxQueuedBytes = 1 << 20
 )
 
-// packet is data in flight, or the end of the stream if err is set.
+// packet is data in flight on a link, or the end of the stream if err is set.
 type packet struct {
 	data    []byte
 	arrival time.Time
@@ -32,11 +33,12 @@
 	lastArrival time.Time
 	queue       []packet
 	queuedBytes int
-	// broken is set when a partition dropped data: what follows the gap can never be delivered.
+	// broken is set when a partition has dropped data. Data after the gap is never delivered.
 	broken bool
 }
 
-// arrivalTime returns the arrival time of n bytes that are sent now. Times never decrease, so the order is kept.
+// arrivalTime returns the arrival time of n bytes that are sent now. Arrival times never decrease, which keeps the
+// order of the data.
 func (l *direction) arrivalTime(now time.Time, link Link, n int) time.Time {
 	due := now.Add(link.Delay)
 	if link.Jitter > 0 {
@@ -52,7 +54,8 @@
 	return due
 }
 
-// retransmissionDelay returns the longest delay by loss among the segments, because TCP delivers in order.
+// retransmissionDelay draws the losses of each segment of n bytes and returns the longest resulting delay. TCP delivers
+// in order, so the slowest segment delays all others.
 func (l *direction) retransmissionDelay(link Link, n int) time.Duration {
 	first := link.Retransmit
 	if first == 0 {
@@ -82,14 +85,14 @@
 	return p
 }
 
-// drop discards all data in flight and everything after it.
+// drop discards the queued data and everything that is sent later.
 func (l *direction) drop() {
 	l.queue = nil
 	l.queuedBytes = 0
 	l.broken = true
 }
 
-// delayUntil makes held packets arrive no earlier than the given time.
+// delayUntil makes the queued packets arrive no earlier than the given time.
 func (l *direction) delayUntil(earliest time.Time) {
 	for i := range l.queue {
 		if l.queue[i].arrival.Before(earliest) {
--- a/transport/shape/scheduler.go
+++ b/transport/shape/scheduler.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// waker wakes one waiting goroutine after a time that can be changed while it waits.
+// waker wakes one waiting goroutine after a duration that can be changed while it waits.
 type waker interface {
-	// set replaces the time of the next wake-up.
+	// set schedules the next wake-up after d and replaces the one that was scheduled before.
 	set(d time.Duration)
-	// wait returns after the time that was set last. It may return early.
+	// wait returns when the duration that was set last has passed. It may return early.
 	wait()
 	close()
 }
 
-// immediately wakes the waiter without a wait.
+// immediately is the duration that makes a waker wake up without delay.
 const immediately = time.Nanosecond
 
 // timerWaker uses a runtime timer. On an idle Linux process these are late by up to a millisecond.
@@ -30,7 +30,7 @@
 	return timerWaker{timer, make(chan struct{}, 1)}
 }
 
-// set needs no timer for atOnce, because fake time stands still when a test ends.
+// set uses no timer for immediately, because fake time no longer advances when a test ends.
 func (a timerWaker) set(d time.Duration) {
 	if d > immediately {
 		a.timer.Reset(d)
@@ -70,9 +70,9 @@
 	return popped
 }
 
-// scheduler runs short functions at exact times on one goroutine for all connections.
+// scheduler runs the timed functions of all connections on one goroutine.
 type scheduler struct {
-	// waker is set with the mutex held, so that it always belongs to the first event.
+	// waker is set while the mutex is held, so that it always matches the first event.
 	waker waker
 
 	mu     sync.Mutex
@@ -86,7 +86,7 @@
 	return d
 }
 
-// schedule schedules fire, which must not block.
+// schedule runs fire at the given time. fire must not block. After close it has no effect.
 func (d *scheduler) schedule(t time.Time, fire func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,7 +121,7 @@
 	}
 }
 
-// next returns the function that is due, or sets the alarm for the first event.
+// next returns the next function that is due. If none is due, it returns nil and sets the waker for the first event.
 func (d *scheduler) next() (fire func(), closed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/transport/shape/shape.go
+++ b/transport/shape/shape.go
@@ -1,5 +1,6 @@
 // Package shape gives loopback connections the properties of links between availability zones: delay, jitter, loss,
-// silent partitions and byte counts. Only the dialing side is wrapped; it shapes both directions.
+// and partitions without an error on either side. It also counts the transferred bytes. Only the dialing side of a
+// connection is wrapped; it shapes both directions.
 package shape
 
 import (
@@ -39,22 +40,22 @@
 type Link struct {
 	// Delay is the one-way delay.
 	Delay time.Duration
-	// Jitter is the upper bound of an extra delay, drawn evenly for each write.
+	// Jitter is the upper bound of an additional delay that is drawn uniformly for each write.
 	Jitter time.Duration
-	// Loss is the probability that a segment is lost. TCP hides a loss as a retransmission delay.
+	// Loss is the probability, from 0 to 1, that a segment is lost. A loss appears as a retransmission delay.
 	Loss float64
-	// Retransmit is the delay of the first retransmission; 0 takes four times Delay, but at least 20 ms. It doubles
+	// Retransmit is the delay of the first retransmission; 0 means four times Delay, but at least 20 ms. It doubles
 	// for each further loss of the same segment.
 	Retransmit time.Duration
 }
 
-// CutMode tells what happens to data that meets a partition.
+// CutMode selects what a partition does with data.
 type CutMode uint8
 
 const (
-	// CutHold keeps the data until the partition heals, as TCP retransmission does after a short cut.
+	// CutHold keeps the data until the partition heals, as TCP retransmission does after a short partition.
 	CutHold CutMode = iota + 1
-	// CutDrop discards the data. A connection that lost data stays silent after the partition heals.
+	// CutDrop discards the data. A connection that lost data delivers nothing more, even after the partition heals.
 	CutDrop
 )
 
@@ -72,7 +73,8 @@
 	kind Kind
 }
 
-// conditions is an immutable view, so that the data path reads it without a lock.
+// conditions holds the properties of all links and all partitions. It is immutable, so connections read it without a
+// lock.
 type conditions struct {
 	links        map[zonePair]Link
 	extraByZone  map[string]Link
@@ -127,7 +129,8 @@
 	closed    bool
 }
 
-// NewNetwork returns a network without delays. Close releases its goroutine.
+// NewNetwork returns a network without delays or partitions. The seed determines jitter and losses. Close stops its
+// goroutine.
 func NewNetwork(seed int64) *Network { return newNetwork(seed, newPreciseWaker()) }
 
 func newNetwork(seed int64, a waker) *Network {
@@ -155,6 +158,7 @@
 	n.scheduler.close()
 }
 
+// openConns returns the open connections.
 func (n *Network) openConns() []*conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -167,7 +171,7 @@
 	delete(n.conns, c)
 }
 
-// updateConditions replaces the settings by a changed copy.
+// updateConditions replaces the conditions by a changed copy.
 func (n *Network) updateConditions(edit func(s *conditions)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -189,7 +193,7 @@
 	return maps.Clone(m)
 }
 
-// releaseHeld releases what waits for a partition to heal.
+// releaseHeld wakes the dials and connections that wait for a partition to heal.
 func (n *Network) releaseHeld() {
 	n.mu.Lock()
 	close(n.healed)
@@ -200,7 +204,7 @@
 	}
 }
 
-// Register names the endpoint that listens on an address, so that dialers find the link to it.
+// Register records which endpoint listens on an address, so that dialers find the link to it.
 func (n *Network) Register(address string, e Endpoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -217,7 +221,7 @@
 	return listener, nil
 }
 
-// SetLink sets both directions between two zones.
+// SetLink sets the link of both directions between two zones.
 func (n *Network) SetLink(a, b string, l Link) {
 	n.updateConditions(func(s *conditions) {
 		s.links[zonePair{a, b}] = l
@@ -225,12 +229,12 @@
 	})
 }
 
-// SetDirection sets one direction between two zones.
+// SetDirection sets the link of one direction between two zones.
 func (n *Network) SetDirection(from, to string, l Link) {
 	n.updateConditions(func(s *conditions) { s.links[zonePair{from, to}] = l })
 }
 
-// SlowZone adds a link's properties to every direction into and out of a zone. A zero Link ends it.
+// SlowZone adds the properties of a link to all traffic between a zone and other zones. A zero Link removes them.
 func (n *Network) SlowZone(zone string, add Link) {
 	n.updateConditions(func(s *conditions) { s.extraByZone[zone] = add })
 }
@@ -257,7 +261,7 @@
 	n.releaseHeld()
 }
 
-// Abort closes all connections that a process dialed, as the kernel does when a process dies.
+// Abort closes all connections that a process dialed with a TCP reset, as the kernel does when a process crashes.
 func (n *Network) Abort(process string) {
 	for _, c := range n.openConns() {
 		if c.local.Process == process {
@@ -266,7 +270,8 @@
 	}
 }
 
-// Counts returns the bytes that were sent, sorted by zone pair and kind. Bytes count when they are handed to the link.
+// Counts returns the bytes that were sent, sorted by zone pair and kind. Bytes are counted when they enter the link,
+// also if a partition drops them later.
 func (n *Network) Counts() []Count {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -309,7 +314,7 @@
 	c.outbound = &direction{from: local, to: remote, sentBytes: n.counter(local, remote, kind)}
 	c.inbound = &direction{from: remote, to: local, sentBytes: n.counter(remote, local, kind)}
 	n.mu.Unlock()
-	// Many connections open at once, so that this work is kept out of the lock.
+	// Many connections may be opened at once, so the generators are created without the lock.
 	c.outbound.rng = n.newRand(c.outbound, ordinal)
 	c.inbound.rng = n.newRand(c.inbound, ordinal)
 	n.mu.Lock()
@@ -323,6 +328,7 @@
 	return c
 }
 
+// counter returns the byte counter of a zone pair and kind. The caller holds the mutex.
 func (n *Network) counter(from, to Endpoint, kind Kind) *atomic.Int64 {
 	key := countKey{zonePair{from.Zone, to.Zone}, kind}
 	if n.counts[key] == nil {
@@ -331,8 +337,8 @@
 	return n.counts[key]
 }
 
-// newRand returns the generator of one direction. It depends on the ordinal among the connections of the process that
-// opened it only, so that connections elsewhere do not change it.
+// newRand returns the random generator of one direction. It depends on the seed, the two endpoints and how many
+// connections the local endpoint has opened, so connections of other processes do not change it.
 func (n *Network) newRand(l *direction, ordinal int64) *rand.Rand {
 	hash := fnv.New64a()
 	for _, text := range []string{l.from.Zone, l.from.Process, l.to.Zone, l.to.Process} {
@@ -342,6 +348,7 @@
 	return rand.New(rand.NewPCG(uint64(n.seed), hash.Sum64()+uint64(ordinal)))
 }
 
+// endpoint returns the endpoint that is registered for an address. An unknown address is an endpoint without a zone.
 func (n *Network) endpoint(address string) Endpoint {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -351,7 +358,7 @@
 	return Endpoint{Process: address}
 }
 
-// handshake waits for one round trip, and for the end of a partition.
+// handshake waits for the end of a partition, if there is one, and then for one round trip.
 func (n *Network) handshake(ctx context.Context, local, remote Endpoint) error {
 	for {
 		n.mu.Lock()
--- a/transport/shape/shape_test.go
+++ b/transport/shape/shape_test.go
@@ -15,7 +15,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// testingT is needed by synctest, which takes no other type.
+// testingT is the test that runs the specs; synctest.Test requires a *testing.T.
 var testingT *testing.T
 
 func TestShape(t *testing.T) {
@@ -29,7 +29,8 @@
 	endpointB = Endpoint{Zone: "b", Process: "q"}
 )
 
-// withFakeTime runs f with fake time, a network that uses only runtime timers, and both ends of a shaped connection.
+// withFakeTime runs f with fake time and both ends of a shaped connection. The network uses only timers of the Go
+// runtime, because fake time does not apply to a timerfd.
 func withFakeTime(link Link, f func(n *Network, local, remote net.Conn)) {
 	GinkgoHelper()
 	synctest.Test(testingT, func(*testing.T) {
@@ -68,7 +69,8 @@
 }
 
 var _ = Describe("Wrap", func() {
-	// Guards against a delay that is applied once per round trip, or adds up over writes that are in flight together.
+	// Guards against a delay that applies only once per round trip, or that adds up over writes in flight at the same
+	// time.
 	It("delays each direction by exactly the link's delay", func() {
 		withFakeTime(Link{Delay: 4 * time.Millisecond}, func(_ *Network, local, remote net.Conn) {
 			start := time.Now()
@@ -107,7 +109,7 @@
 		})
 	})
 
-	// Guards against losses that have no effect, or that appear as errors.
+	// Guards against losses that have no effect or that appear as errors.
 	It("shows a loss as a retransmission delay", func() {
 		withFakeTime(Link{Delay: time.Millisecond, Loss: 1, Retransmit: 10 * time.Millisecond}, func(_ *Network, local, remote net.Conn) {
 			start := time.Now()
@@ -117,7 +119,7 @@
 		})
 	})
 
-	// Guards against a partition that is visible as an error, works in one direction only or loses held data.
+	// Guards against a partition that causes an error, blocks only one direction or loses held data.
 	It("holds data in both directions during a partition and delivers it afterwards", func() {
 		withFakeTime(Link{Delay: 4 * time.Millisecond}, func(n *Network, local, remote net.Conn) {
 			n.CutZone("b", CutHold)
@@ -134,7 +136,7 @@
 	})
 
 	// Guards against a connection that continues after a gap in its bytes.
-	It("stays silent after a partition dropped data", func() {
+	It("delivers nothing more after a partition has dropped data", func() {
 		withFakeTime(Link{}, func(n *Network, local, remote net.Conn) {
 			n.CutProcess("q", CutDrop)
 			send(local, "gone")
@@ -145,7 +147,7 @@
 		})
 	})
 
-	// Guards against a close that crosses a partition, which would tell the other side at once.
+	// Guards against a close that passes a partition and so tells the other side immediately that the connection is gone.
 	It("hides a close until the partition heals", func() {
 		withFakeTime(Link{Delay: time.Millisecond}, func(n *Network, local, remote net.Conn) {
 			n.CutZone("a", CutHold)
@@ -157,7 +159,7 @@
 		})
 	})
 
-	// Guards against processes of the healthy side that a zone's partition affects.
+	// Guards against a partition that affects zones or processes other than the named one.
 	It("cuts only the named zone or process", func() {
 		withFakeTime(Link{}, func(n *Network, local, remote net.Conn) {
 			n.CutZone("c", CutHold)
@@ -168,7 +170,7 @@
 	})
 
 	// Guards against a writer that never blocks and so buffers without limit during a partition.
-	It("blocks a writer when too much is in flight, and obeys its deadline", func() {
+	It("blocks a writer when too much data is in flight, until its write deadline", func() {
 		withFakeTime(Link{Delay: time.Millisecond}, func(n *Network, local, _ net.Conn) {
 			n.CutZone("b", CutHold)
 			Expect(local.SetWriteDeadline(time.Now().Add(time.Minute))).To(Succeed())
@@ -214,7 +216,8 @@
 })
 
 var _ = Describe("Dialer", func() {
-	// Guards against shaping that breaks real sockets: sizes beyond socket buffers, resets and dials into partitions.
+	// Guards against failures that occur only with real sockets: data larger than the socket buffers, and dials during a
+	// partition.
 	It("carries data over TCP and waits for a partition to heal", func() {
 		n := NewNetwork(1)
 		defer n.Close()
--- a/transport/shape/waker_linux.go
+++ b/transport/shape/waker_linux.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// timerfdWaker uses a timerfd, which the runtime's poller watches. It is precise to well under 0.1 ms on a machine with
-// free cores and holds no thread while it waits. Sleeping in a system call instead kept one scheduler slot busy for each
-// network, so that eight parallel networks on a loaded machine stopped almost all traffic.
+// timerfdWaker waits on a timerfd through the poller of the Go runtime. It is precise to well under 0.1 ms on an
+// instance with free cores and blocks no thread while it waits. A sleep in a system call would occupy one processor
+// (P) of the Go scheduler for each network: with eight networks on a loaded instance almost all traffic stopped.
 type timerfdWaker struct {
 	fd   int
 	file *os.File
@@ -31,7 +31,7 @@
 
 func (a *timerfdWaker) wait() {
 	var expirations [8]byte
-	// An early return is allowed, so that an error needs no handling.
+	// An error needs no handling, because wait may return early.
 	_, _ = a.file.Read(expirations[:])
 }
 
--- a/transport/shape/waker_other.go
+++ b/transport/shape/waker_other.go
@@ -2,4 +2,4 @@
 
 package shape
 
-func newPreciseWaker() alarm { return newTimerAlarm() }
+func newPreciseWaker() waker { return newTimerWaker() }
