--- a/mesh/host.go
+++ b/mesh/host.go
@@ -19,12 +19,12 @@
 	tickInterval = 50 * time.Millisecond
 	// helloTimeout bounds the opening of a link, a new connection included.
 	helloTimeout = 3 * time.Second
-	// inboxLength lets a herd of children deliver their polls while one message is handled.
-	inboxLength = 1024
-	// linkQueueLength bounds the messages that wait for a slow peer; the link is closed beyond it.
-	linkQueueLength = 256
-	// batchLength bounds the inputs between two runs of AfterBatch.
-	batchLength = 256
+	// maxQueuedInputs lets a herd of children deliver their polls while one message is handled.
+	maxQueuedInputs = 1024
+	// maxQueuedFrames bounds the messages that wait for a slow peer; the link is closed beyond it.
+	maxQueuedFrames = 256
+	// maxBatchInputs bounds the inputs between two runs of AfterBatch.
+	maxBatchInputs = 256
 )
 
 // Peer is the state machine that a Host drives. relay.Peer implements it.
@@ -55,7 +55,7 @@
 // Host owns the control goroutine of one process. Its exported methods are safe for concurrent use.
 type Host struct {
 	options Options
-	inbox   chan func(now time.Time)
+	inputs  chan func(now time.Time)
 	stopped chan struct{}
 
 	// The fields below belong to the control goroutine.
@@ -71,7 +71,7 @@
 	}
 	return &Host{
 		options: options,
-		inbox:   make(chan func(now time.Time), inboxLength),
+		inputs:  make(chan func(now time.Time), maxQueuedInputs),
 		stopped: make(chan struct{}),
 		links:   make(map[relay.LinkID]*link),
 	}
@@ -90,8 +90,8 @@
 			return
 		case <-ticker.C:
 			h.tick(h.options.Now())
-		case input := <-h.inbox:
-			h.batch(input)
+		case input := <-h.inputs:
+			h.runBatch(input)
 		}
 	}
 }
@@ -101,38 +101,38 @@
 		h.options.Tick(now)
 	}
 	h.options.Peer.Tick(now)
-	h.settle(now)
+	h.finishBatch(now)
 }
 
-// batch runs the inputs that are already waiting, so that costs per batch, such as a synced write, are shared.
-func (h *Host) batch(input func(now time.Time)) {
+// runBatch runs the inputs that are already waiting, so that costs per runBatch, such as a synced write, are shared.
+func (h *Host) runBatch(input func(now time.Time)) {
 	now := h.options.Now()
 	input(now)
-	for range batchLength {
+	for range maxBatchInputs {
 		select {
-		case next := <-h.inbox:
+		case next := <-h.inputs:
 			next(now)
 			continue
 		default:
 		}
 		break
 	}
-	h.settle(now)
+	h.finishBatch(now)
 }
 
-// settle carries out the outputs of the peer.
-func (h *Host) settle(now time.Time) {
+// finishBatch carries out the outputs of the peer.
+func (h *Host) finishBatch(now time.Time) {
 	if h.options.AfterBatch != nil {
 		h.options.AfterBatch(now)
 	}
 	for outputs := h.options.Peer.Outputs(); len(outputs) > 0; outputs = h.options.Peer.Outputs() {
 		for _, output := range outputs {
-			h.carryOut(now, output)
+			h.execute(now, output)
 		}
 	}
 }
 
-func (h *Host) carryOut(now time.Time, output relay.Output) {
+func (h *Host) execute(now time.Time, output relay.Output) {
 	switch output := output.(type) {
 	case relay.Send:
 		h.send(now, output.Link, output.Message)
@@ -141,7 +141,7 @@
 	case relay.Close:
 		if l := h.links[output.Link]; l != nil {
 			delete(h.links, output.Link)
-			l.finish()
+			l.closeQueue()
 		}
 	default:
 		h.options.Output(now, output)
@@ -165,7 +165,7 @@
 // not run.
 func (h *Host) Post(input func(now time.Time)) bool {
 	select {
-	case h.inbox <- input:
+	case h.inputs <- input:
 		return true
 	case <-h.stopped:
 		return false
--- a/mesh/link.go
+++ b/mesh/link.go
@@ -24,32 +24,32 @@
 
 // link is one Follow stream. The control goroutine sends through it; two other goroutines move the frames.
 type link struct {
-	out    chan *protocol.FollowFrame
-	cancel context.CancelFunc
-	once   sync.Once
+	queue     chan *protocol.FollowFrame
+	cancel    context.CancelFunc
+	closeOnce sync.Once
 }
 
 func newLink(cancel context.CancelFunc) *link {
-	return &link{out: make(chan *protocol.FollowFrame, linkQueueLength), cancel: cancel}
+	return &link{queue: make(chan *protocol.FollowFrame, maxQueuedFrames), cancel: cancel}
 }
 
 // enqueue returns false if the queue is full. Only the control goroutine calls it.
 func (l *link) enqueue(frame *protocol.FollowFrame) bool {
 	select {
-	case l.out <- frame:
+	case l.queue <- frame:
 		return true
 	default:
 		return false
 	}
 }
 
-// finish ends the link after the queued frames.
-func (l *link) finish() { l.once.Do(func() { close(l.out) }) }
+// closeQueue ends the link after the queued frames.
+func (l *link) closeQueue() { l.closeOnce.Do(func() { close(l.queue) }) }
 
 // abort ends the link at once.
 func (l *link) abort() {
 	l.cancel()
-	l.finish()
+	l.closeQueue()
 }
 
 // frameStream is either side of a Follow stream.
@@ -61,7 +61,7 @@
 // write moves queued frames to the stream. It cancels the link when the stream fails or the queue is closed.
 func (l *link) write(stream frameStream) {
 	defer l.cancel()
-	for frame := range l.out {
+	for frame := range l.queue {
 		if err := stream.Send(frame); err != nil {
 			return
 		}
@@ -79,16 +79,16 @@
 		timer := time.AfterFunc(helloTimeout, cancel)
 		stream, err := h.options.Pool.Follow(ctx, address)
 		if err != nil {
-			h.down(id, l, err)
+			h.reportDown(id, l, err)
 			return
 		}
-		remote, err := introduce(stream, hello)
+		remote, err := exchangeHellos(stream, hello)
 		timer.Stop()
 		if err != nil {
-			h.down(id, l, err)
+			h.reportDown(id, l, err)
 			return
 		}
-		h.carry(id, l, stream, remote, true)
+		h.runLink(id, l, stream, remote, true)
 	}()
 }
 
@@ -114,15 +114,15 @@
 	case <-h.stopped:
 		return ErrStopped
 	}
-	remote, err := introduce(stream, hello)
+	remote, err := exchangeHellos(stream, hello)
 	if err != nil {
-		h.down(id, l, err)
+		h.reportDown(id, l, err)
 		return err
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		h.carry(id, l, stream, remote, false)
+		h.runLink(id, l, stream, remote, false)
 	}()
 	// The stream ends when this method returns, which also ends the reading goroutine.
 	<-ctx.Done()
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// introduce exchanges hellos.
-func introduce(stream frameStream, hello relay.Hello) (relay.Hello, error) {
+// exchangeHellos exchanges hellos.
+func exchangeHellos(stream frameStream, hello relay.Hello) (relay.Hello, error) {
 	if err := stream.Send(&protocol.FollowFrame{Hello: &hello}); err != nil {
 		return relay.Hello{}, errors.Wrapf(ErrHandshake, "%v", err)
 	}
@@ -148,14 +148,14 @@
 	return *frame.Hello, nil
 }
 
-// carry moves frames between the stream and the control goroutine until the link ends.
-func (h *Host) carry(id relay.LinkID, l *link, stream frameStream, remote relay.Hello, outbound bool) {
+// runLink moves frames between the stream and the control goroutine until the link ends.
+func (h *Host) runLink(id relay.LinkID, l *link, stream frameStream, remote relay.Hello, outbound bool) {
 	h.postLink(id, l, func(now time.Time) { h.options.Peer.LinkUp(now, id, remote, outbound) })
 	go l.write(stream)
 	for {
 		frame, err := stream.Recv()
 		if err != nil {
-			h.down(id, l, err)
+			h.reportDown(id, l, err)
 			return
 		}
 		if frame.Message == nil {
@@ -175,8 +175,8 @@
 	})
 }
 
-// down reports the end of a link, unless the control goroutine ended it itself.
-func (h *Host) down(id relay.LinkID, l *link, err error) {
+// reportDown reports the end of a link, unless the control goroutine ended it itself.
+func (h *Host) reportDown(id relay.LinkID, l *link, err error) {
 	h.postLink(id, l, func(now time.Time) {
 		delete(h.links, id)
 		l.abort()
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -20,7 +20,7 @@
 	"sapphiregate.example/sapphiregate/transport/rpc"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func TestMesh(t *testing.T) {
 	RegisterFailHandler(Fail)
@@ -150,28 +150,28 @@
 		before = gleak.Goroutines()
 		// Registered first, so that it runs after all processes of the spec are stopped. Guards against goroutines that
 		// outlive a stop.
-		DeferCleanup(func() { Eventually(gleak.Goroutines, patience).ShouldNot(gleak.HaveLeaked(before)) })
+		DeferCleanup(func() { Eventually(gleak.Goroutines, testTimeout).ShouldNot(gleak.HaveLeaked(before)) })
 	})
 
 	// Guards against a peer that stops reading and thereby holds memory without bound or the control goroutine.
 	It("drops a peer that stops reading, and serves the others", func() {
 		p := start()
 		slow, _ := p.follow()
-		Eventually(p.peer.upLinks, patience).Should(HaveLen(1))
+		Eventually(p.peer.upLinks, testTimeout).Should(HaveLen(1))
 		id := p.peer.upLinks()[0]
 		healthy, _ := p.follow()
-		Eventually(p.peer.upLinks, patience).Should(HaveLen(2))
+		Eventually(p.peer.upLinks, testTimeout).Should(HaveLen(2))
 		large := relay.Message{Crashes: &relay.Crashes{Reports: []relay.CrashReport{{Payload: bytes.Repeat([]byte{1}, 64<<10)}}}}
 		for range 2000 {
 			p.peer.emit(relay.Send{Link: id, Message: large})
 		}
-		Eventually(p.peer.downLinks, patience).Should(Equal([]relay.LinkID{id}))
+		Eventually(p.peer.downLinks, testTimeout).Should(Equal([]relay.LinkID{id}))
 		p.peer.emit(relay.Send{Link: p.peer.upLinks()[1], Message: large})
 		frame, err := healthy.Recv()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(frame.Message.Crashes).NotTo(BeNil())
 		// What was on the way may still arrive, but the stream ends.
-		Eventually(func() error { _, err := slow.Recv(); return err }, patience).Should(HaveOccurred())
+		Eventually(func() error { _, err := slow.Recv(); return err }, testTimeout).Should(HaveOccurred())
 		Expect(p.peer.downLinks()).To(Equal([]relay.LinkID{id}))
 	})
 
@@ -187,15 +187,15 @@
 			relay.Dial{Link: outbound, Address: parent.server.Address()},
 			relay.Dial{Link: refused, Address: closed.Addr().String()},
 		)
-		child, leave := p.follow()
-		Eventually(p.peer.upLinks, patience).Should(ConsistOf(outbound, BeNumerically("<", outbound)))
-		Eventually(p.peer.downLinks, patience).Should(ConsistOf(refused))
+		child, disconnect := p.follow()
+		Eventually(p.peer.upLinks, testTimeout).Should(ConsistOf(outbound, BeNumerically("<", outbound)))
+		Eventually(p.peer.downLinks, testTimeout).Should(ConsistOf(refused))
 		Expect(child.Send(&protocol.FollowFrame{Message: &relay.Message{Poll: &relay.Poll{Sequence: 1}}})).To(Succeed())
-		Eventually(p.peer.stepCount, patience).Should(Equal(1))
-		leave()
-		Eventually(p.peer.downLinks, patience).Should(HaveLen(2))
+		Eventually(p.peer.stepCount, testTimeout).Should(Equal(1))
+		disconnect()
+		Eventually(p.peer.downLinks, testTimeout).Should(HaveLen(2))
 		parent.stop()
-		Eventually(p.peer.downLinks, patience).Should(HaveLen(3))
+		Eventually(p.peer.downLinks, testTimeout).Should(HaveLen(3))
 		p.stop()
 		Expect(p.peer.downLinks()).To(ConsistOf(outbound, refused, BeNumerically("<", outbound)))
 	})
@@ -204,7 +204,7 @@
 	It("sends what is queued before a close and does not report it", func() {
 		p := start()
 		child, _ := p.follow()
-		Eventually(p.peer.upLinks, patience).Should(HaveLen(1))
+		Eventually(p.peer.upLinks, testTimeout).Should(HaveLen(1))
 		id := p.peer.upLinks()[0]
 		p.peer.emit(relay.Send{Link: id, Message: relay.Message{Redirect: &relay.Redirect{}}}, relay.Close{Link: id})
 		frame, err := child.Recv()
@@ -221,7 +221,7 @@
 		p := start()
 		p.follow()
 		p.cancel()
-		Eventually(func() error { return p.host.Query(context.Background(), func(time.Time) {}) }, patience).
+		Eventually(func() error { return p.host.Query(context.Background(), func(time.Time) {}) }, testTimeout).
 			Should(MatchError(mesh.ErrStopped))
 		p.stop()
 	})
