--- a/mesh/host.go
+++ b/mesh/host.go
@@ -1,5 +1,6 @@
-// Package mesh drives a relay.Peer: it owns the control goroutine of a process and the Follow streams to its parent,
-// its children and other members.
+// Package mesh hosts the relay.Peer of a process, which is the place of the process in the distribution tree. It runs
+// the peer on one goroutine, the control goroutine, and exchanges its messages over Follow streams with the parent,
+// the children and other control members.
 package mesh
 
 import (
@@ -15,13 +16,13 @@
 )
 
 const (
-	// tickInterval is how often time passes for the peer.
+	// tickInterval is the interval at which the peer is told the time.
 	tickInterval = 50 * time.Millisecond
-	// helloTimeout bounds the opening of a link, a new connection included.
+	// helloTimeout is the timeout for opening a link, which includes a new connection and the exchange of hellos.
 	helloTimeout = 3 * time.Second
-	// maxQueuedInputs lets a herd of children deliver their polls while one message is handled.
+	// maxQueuedInputs is large enough that many children can deliver their polls while one message is handled.
 	maxQueuedInputs = 1024
-	// maxQueuedFrames bounds the messages that wait for a slow peer; the link is closed beyond it.
+	// maxQueuedFrames bounds the frames that wait for a slow peer. The link is aborted when the queue is full.
 	maxQueuedFrames = 256
 	// maxBatchInputs bounds the inputs between two runs of AfterBatch.
 	maxBatchInputs = 256
@@ -37,34 +38,34 @@
 	Outputs() []relay.Output
 }
 
-// Options sets up a Host. The callbacks run on the control goroutine.
+// Options configures a Host. The callbacks run on the control goroutine.
 type Options struct {
 	Peer   Peer
 	Pool   *rpc.Pool
 	Logger zerolog.Logger
-	// Output receives the outputs that do not concern links.
+	// Output receives the outputs of the peer other than Send, Dial and Close, which the host executes.
 	Output func(now time.Time, output relay.Output)
-	// Tick runs at each tick before the peer's own.
+	// Tick runs at each tick before the Tick of the peer; it may be nil.
 	Tick func(now time.Time)
-	// AfterBatch runs after each batch of inputs; it may be nil.
+	// AfterBatch runs after each batch of inputs and before their outputs are executed; it may be nil.
 	AfterBatch func(now time.Time)
-	// Now is the clock that the peer lives by; nil takes one that counts suspensions of the machine.
+	// Now is the clock of the peer; nil means clock.Now, which also counts the time for which the instance was suspended.
 	Now func() time.Time
 }
 
-// Host owns the control goroutine of one process. Its exported methods are safe for concurrent use.
+// Host runs the control goroutine of one process. Its exported methods are safe for concurrent use.
 type Host struct {
 	options Options
 	inputs  chan func(now time.Time)
 	stopped chan struct{}
 
-	// The fields below belong to the control goroutine.
+	// Only the control goroutine uses the fields below.
 	links       map[relay.LinkID]*link
 	nextInbound relay.LinkID
 	ctx         context.Context
 }
 
-// NewHost returns a host that does not run yet.
+// NewHost returns a host. Run starts it.
 func NewHost(options Options) *Host {
 	if options.Now == nil {
 		options.Now = clock.Now
@@ -77,7 +78,7 @@
 	}
 }
 
-// Run is the control goroutine. It returns when the context ends.
+// Run is the body of the control goroutine. It aborts all links and returns when the context ends.
 func (h *Host) Run(ctx context.Context) {
 	defer close(h.stopped)
 	h.ctx = ctx
@@ -104,7 +105,7 @@
 	h.finishBatch(now)
 }
 
-// runBatch runs the inputs that are already waiting, so that costs per runBatch, such as a synced write, are shared.
+// runBatch runs the input and those that already wait, so that they share costs per batch, such as a synced write.
 func (h *Host) runBatch(input func(now time.Time)) {
 	now := h.options.Now()
 	input(now)
@@ -120,7 +121,7 @@
 	h.finishBatch(now)
 }
 
-// finishBatch carries out the outputs of the peer.
+// finishBatch runs AfterBatch and then executes the outputs of the peer until there are no more.
 func (h *Host) finishBatch(now time.Time) {
 	if h.options.AfterBatch != nil {
 		h.options.AfterBatch(now)
@@ -132,6 +133,7 @@
 	}
 }
 
+// execute executes one output of the peer.
 func (h *Host) execute(now time.Time, output relay.Output) {
 	switch output := output.(type) {
 	case relay.Send:
@@ -148,6 +150,7 @@
 	}
 }
 
+// send queues a message. It aborts the link and reports this to the peer if the queue is full.
 func (h *Host) send(now time.Time, id relay.LinkID, message relay.Message) {
 	l := h.links[id]
 	if l == nil {
@@ -172,7 +175,8 @@
 	}
 }
 
-// Query runs a function on the control goroutine and waits for it.
+// Query runs a function on the control goroutine and waits until it has run. It returns ErrStopped if the host stops
+// first. If the context ends first, it returns the error of the context and the function may still run.
 func (h *Host) Query(ctx context.Context, query func(now time.Time)) error {
 	done := make(chan struct{})
 	if !h.Post(func(now time.Time) { query(now); close(done) }) {
--- a/mesh/link.go
+++ b/mesh/link.go
@@ -14,15 +14,17 @@
 
 // Errors of this package.
 var (
-	// ErrStopped means that the control goroutine has ended.
+	// ErrStopped means that the host has stopped: its control goroutine has returned.
 	ErrStopped = errors.New("mesh: host has stopped")
-	// ErrHandshake means that the other side did not introduce itself.
-	ErrHandshake = errors.New("mesh: peer sent no hello")
+	// ErrHandshake means that the exchange of hellos on a new link failed.
+	ErrHandshake = errors.New("mesh: exchange of hellos failed")
 
+	// errSlowPeer is the reason for a link that is aborted because its queue is full.
 	errSlowPeer = errors.New("mesh: peer does not keep up")
 )
 
-// link is one Follow stream. The control goroutine sends through it; two other goroutines move the frames.
+// link is one Follow stream. The control goroutine queues frames for it, a second goroutine sends them, and a third one
+// receives frames.
 type link struct {
 	queue     chan *protocol.FollowFrame
 	cancel    context.CancelFunc
@@ -43,22 +45,22 @@
 	}
 }
 
-// closeQueue ends the link after the queued frames.
+// closeQueue ends the link when the queued frames have been sent.
 func (l *link) closeQueue() { l.closeOnce.Do(func() { close(l.queue) }) }
 
-// abort ends the link at once.
+// abort ends the link immediately and drops the queued frames.
 func (l *link) abort() {
 	l.cancel()
 	l.closeQueue()
 }
 
-// frameStream is either side of a Follow stream.
+// frameStream is the client or server side of a Follow stream.
 type frameStream interface {
 	Send(*protocol.FollowFrame) error
 	Recv() (*protocol.FollowFrame, error)
 }
 
-// write moves queued frames to the stream. It cancels the link when the stream fails or the queue is closed.
+// write sends the queued frames. It cancels the link when the stream fails or the queue is closed and empty.
 func (l *link) write(stream frameStream) {
 	defer l.cancel()
 	for frame := range l.queue {
@@ -68,7 +70,7 @@
 	}
 }
 
-// dial opens a link and reports it to the peer.
+// dial opens a link to an address and reports its start, or its failure, to the peer.
 func (h *Host) dial(id relay.LinkID, address string) {
 	ctx, cancel := context.WithCancel(h.ctx)
 	l := newLink(cancel)
@@ -124,7 +126,7 @@
 		defer close(done)
 		h.runLink(id, l, stream, remote, false)
 	}()
-	// The stream ends when this method returns, which also ends the reading goroutine.
+	// grpc-go ends the stream when this method returns, which also stops the goroutine that receives.
 	<-ctx.Done()
 	select {
 	case <-done:
@@ -133,7 +135,7 @@
 	return nil
 }
 
-// exchangeHellos exchanges hellos.
+// exchangeHellos sends the hello of this process and returns that of the other one. The error is ErrHandshake.
 func exchangeHellos(stream frameStream, hello relay.Hello) (relay.Hello, error) {
 	if err := stream.Send(&protocol.FollowFrame{Hello: &hello}); err != nil {
 		return relay.Hello{}, errors.Wrapf(ErrHandshake, "%v", err)
@@ -148,7 +150,8 @@
 	return *frame.Hello, nil
 }
 
-// runLink moves frames between the stream and the control goroutine until the link ends.
+// runLink reports the start of a link to the peer, sends its queued frames and posts the received messages until it
+// ends.
 func (h *Host) runLink(id relay.LinkID, l *link, stream frameStream, remote relay.Hello, outbound bool) {
 	h.postLink(id, l, func(now time.Time) { h.options.Peer.LinkUp(now, id, remote, outbound) })
 	go l.write(stream)
@@ -166,7 +169,7 @@
 	}
 }
 
-// postLink runs an input only while the link is registered.
+// postLink posts an input that runs only if the link is still registered.
 func (h *Host) postLink(id relay.LinkID, l *link, input func(now time.Time)) {
 	h.Post(func(now time.Time) {
 		if h.links[id] == l {
@@ -175,7 +178,8 @@
 	})
 }
 
-// reportDown reports the end of a link, unless the control goroutine ended it itself.
+// reportDown reports the end of a link to the peer, unless the link is no longer registered because the control
+// goroutine ended it.
 func (h *Host) reportDown(id relay.LinkID, l *link, err error) {
 	h.postLink(id, l, func(now time.Time) {
 		delete(h.links, id)
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -27,7 +27,7 @@
 	RunSpecs(t, "mesh")
 }
 
-// fakePeer records its inputs and hands out the outputs that a test queued.
+// fakePeer records its inputs and returns the outputs that a test has queued with emit.
 type fakePeer struct {
 	mu      sync.Mutex
 	outputs []relay.Output
@@ -89,7 +89,7 @@
 	return p.steps
 }
 
-// process is a host with its server.
+// process is a host with its server and its connection pool.
 type process struct {
 	peer   *fakePeer
 	host   *mesh.Host
@@ -122,7 +122,7 @@
 	return &protocol.PingReply{}, nil
 }
 
-// stop ends the process as a node does.
+// stop stops the process in the order in which a node does.
 func (p *process) stop() {
 	p.cancel()
 	p.server.Stop()
@@ -130,7 +130,7 @@
 	p.tasks.Wait()
 }
 
-// follow opens a link as a child that a test drives by hand.
+// follow opens a link as a child. The test sends and receives on the returned stream itself.
 func (p *process) follow() (rpc.FollowClientStream, context.CancelFunc) {
 	pool := rpc.NewPool(nil, nil)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -148,12 +148,12 @@
 	var before []gleak.Goroutine
 	BeforeEach(func() {
 		before = gleak.Goroutines()
-		// Registered first, so that it runs after all processes of the spec are stopped. Guards against goroutines that
-		// outlive a stop.
+		// Guards against goroutines that keep running after a stop. The check is registered first, so that it runs after all
+		// processes of the spec have stopped.
 		DeferCleanup(func() { Eventually(gleak.Goroutines, testTimeout).ShouldNot(gleak.HaveLeaked(before)) })
 	})
 
-	// Guards against a peer that stops reading and thereby holds memory without bound or the control goroutine.
+	// Guards against a peer that stops reading and so makes the queue grow without bound or blocks the control goroutine.
 	It("drops a peer that stops reading, and serves the others", func() {
 		p := start()
 		slow, _ := p.follow()
@@ -170,13 +170,13 @@
 		frame, err := healthy.Recv()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(frame.Message.Crashes).NotTo(BeNil())
-		// What was on the way may still arrive, but the stream ends.
+		// Frames in flight may still arrive before the stream ends.
 		Eventually(func() error { _, err := slow.Recv(); return err }, testTimeout).Should(HaveOccurred())
 		Expect(p.peer.downLinks()).To(Equal([]relay.LinkID{id}))
 	})
 
-	// Guards against links that end without a report, which leaves a child without a parent, and against a second
-	// report, which could concern a later link.
+	// Guards against a link that ends without a report, which leaves a child without a parent, and against a second report
+	// of the same link, which could be applied to a later link.
 	It("reports the end of each link once", func() {
 		p, parent := start(), start()
 		const outbound, refused = relay.LinkID(1 << 40), relay.LinkID(1<<40 + 1)
@@ -200,7 +200,7 @@
 		Expect(p.peer.downLinks()).To(ConsistOf(outbound, refused, BeNumerically("<", outbound)))
 	})
 
-	// Guards against a report of a link that the peer itself closed, and against queued messages that the close drops.
+	// Guards against a report about a link that the peer itself closed, and against a close that drops queued messages.
 	It("sends what is queued before a close and does not report it", func() {
 		p := start()
 		child, _ := p.follow()
@@ -216,8 +216,8 @@
 		Expect(p.peer.downLinks()).To(BeEmpty())
 	})
 
-	// Guards against callers that wait for a control goroutine that has ended.
-	It("refuses work and links after its end", func() {
+	// Guards against a call of Query that waits forever for a control goroutine that has returned.
+	It("returns ErrStopped from Query after it has stopped", func() {
 		p := start()
 		p.follow()
 		p.cancel()
