--- a/mesh/link.go
+++ b/mesh/link.go
@@ -14,61 +14,63 @@
 
 // Errors of this package.
 var (
-	// ErrStopped means that the control goroutine has ended.
+	// ErrStopped means that the host has stopped: its control goroutine has returned.
 	ErrStopped = errors.New("mesh: host has stopped")
-	// ErrHandshake means that the other side did not introduce itself.
-	ErrHandshake = errors.New("mesh: peer sent no hello")
+	// ErrHandshake means that the exchange of hellos on a new link failed.
+	ErrHandshake = errors.New("mesh: exchange of hellos failed")
 
+	// errSlowPeer is the reason for a link that is aborted because its queue is full.
 	errSlowPeer = errors.New("mesh: peer does not keep up")
 )
 
-// link is one Follow stream. The control goroutine sends through it; two other goroutines move the frames.
+// link is one Follow stream. The control goroutine queues frames for it, a second goroutine sends them, and a third one
+// receives frames.
 type link struct {
-	out    chan *protocol.FollowFrame
-	cancel context.CancelFunc
-	once   sync.Once
+	queue     chan *protocol.FollowFrame
+	cancel    context.CancelFunc
+	closeOnce sync.Once
 }
 
 func newLink(cancel context.CancelFunc) *link {
-	return &link{out: make(chan *protocol.FollowFrame, linkQueueLength), cancel: cancel}
+	return &link{queue: make(chan *protocol.FollowFrame, maxQueuedFrames), cancel: cancel}
 }
 
 // enqueue returns false if the queue is full. Only the control goroutine calls it.
 func (l *link) enqueue(frame *protocol.FollowFrame) bool {
 	select {
-	case l.out <- frame:
+	case l.queue <- frame:
 		return true
 	default:
 		return false
 	}
 }
 
-// finish ends the link after the queued frames.
-func (l *link) finish() { l.once.Do(func() { close(l.out) }) }
+// closeQueue ends the link when the queued frames have been sent.
+func (l *link) closeQueue() { l.closeOnce.Do(func() { close(l.queue) }) }
 
-// abort ends the link at once.
+// abort ends the link immediately and drops the queued frames.
 func (l *link) abort() {
 	l.cancel()
-	l.finish()
+	l.closeQueue()
 }
 
-// frameStream is either side of a Follow stream.
+// frameStream is the client or server side of a Follow stream.
 type frameStream interface {
 	Send(*protocol.FollowFrame) error
 	Recv() (*protocol.FollowFrame, error)
 }
 
-// write moves queued frames to the stream. It cancels the link when the stream fails or the queue is closed.
+// write sends the queued frames. It cancels the link when the stream fails or the queue is closed and empty.
 func (l *link) write(stream frameStream) {
 	defer l.cancel()
-	for frame := range l.out {
+	for frame := range l.queue {
 		if err := stream.Send(frame); err != nil {
 			return
 		}
 	}
 }
 
-// dial opens a link and reports it to the peer.
+// dial opens a link to an address and reports its start, or its failure, to the peer.
 func (h *Host) dial(id relay.LinkID, address string) {
 	ctx, cancel := context.WithCancel(h.ctx)
 	l := newLink(cancel)
@@ -79,16 +81,16 @@
 		timer := time.AfterFunc(helloTimeout, cancel)
 		stream, err := h.options.Pool.Follow(ctx, address)
 		if err != nil {
-			h.down(id, l, err)
+			h.reportDown(id, l, err)
 			return
 		}
-		remote, err := introduce(stream, hello)
+		remote, err := exchangeHellos(stream, hello)
 		timer.Stop()
 		if err != nil {
-			h.down(id, l, err)
+			h.reportDown(id, l, err)
 			return
 		}
-		h.carry(id, l, stream, remote, true)
+		h.runLink(id, l, stream, remote, true)
 	}()
 }
 
@@ -114,17 +116,17 @@
 	case <-h.stopped:
 		return ErrStopped
 	}
-	remote, err := introduce(stream, hello)
+	remote, err := exchangeHellos(stream, hello)
 	if err != nil {
-		h.down(id, l, err)
+		h.reportDown(id, l, err)
 		return err
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		h.carry(id, l, stream, remote, false)
+		h.runLink(id, l, stream, remote, false)
 	}()
-	// The stream ends when this method returns, which also ends the reading goroutine.
+	// grpc-go ends the stream when this method returns, which also stops the goroutine that receives.
 	<-ctx.Done()
 	select {
 	case <-done:
@@ -133,8 +135,8 @@
 	return nil
 }
 
-// introduce exchanges hellos.
-func introduce(stream frameStream, hello relay.Hello) (relay.Hello, error) {
+// exchangeHellos sends the hello of this process and returns that of the other one. The error is ErrHandshake.
+func exchangeHellos(stream frameStream, hello relay.Hello) (relay.Hello, error) {
 	if err := stream.Send(&protocol.FollowFrame{Hello: &hello}); err != nil {
 		return relay.Hello{}, errors.Wrapf(ErrHandshake, "%v", err)
 	}
@@ -148,14 +150,15 @@
 	return *frame.Hello, nil
 }
 
-// carry moves frames between the stream and the control goroutine until the link ends.
-func (h *Host) carry(id relay.LinkID, l *link, stream frameStream, remote relay.Hello, outbound bool) {
+// runLink reports the start of a link to the peer, sends its queued frames and posts the received messages until it
+// ends.
+func (h *Host) runLink(id relay.LinkID, l *link, stream frameStream, remote relay.Hello, outbound bool) {
 	h.postLink(id, l, func(now time.Time) { h.options.Peer.LinkUp(now, id, remote, outbound) })
 	go l.write(stream)
 	for {
 		frame, err := stream.Recv()
 		if err != nil {
-			h.down(id, l, err)
+			h.reportDown(id, l, err)
 			return
 		}
 		if frame.Message == nil {
@@ -166,7 +169,7 @@
 	}
 }
 
-// postLink runs an input only while the link is registered.
+// postLink posts an input that runs only if the link is still registered.
 func (h *Host) postLink(id relay.LinkID, l *link, input func(now time.Time)) {
 	h.Post(func(now time.Time) {
 		if h.links[id] == l {
@@ -175,8 +178,9 @@
 	})
 }
 
-// down reports the end of a link, unless the control goroutine ended it itself.
-func (h *Host) down(id relay.LinkID, l *link, err error) {
+// reportDown reports the end of a link to the peer, unless the link is no longer registered because the control
+// goroutine ended it.
+func (h *Host) reportDown(id relay.LinkID, l *link, err error) {
 	h.postLink(id, l, func(now time.Time) {
 		delete(h.links, id)
 		l.abort()
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -20,14 +20,14 @@
 	"sapphiregate.example/sapphiregate/transport/rpc"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func TestMesh(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "mesh")
 }
 
-// fakePeer records its inputs and hands out the outputs that a test queued.
+// fakePeer records its inputs and returns the outputs that a test has queued with emit.
 type fakePeer struct {
 	mu      sync.Mutex
 	outputs []relay.Output
@@ -89,7 +89,7 @@
 	return p.steps
 }
 
-// process is a host with its server.
+// process is a host with its server and its connection pool.
 type process struct {
 	peer   *fakePeer
 	host   *mesh.Host
@@ -122,7 +122,7 @@
 	return &protocol.PingReply{}, nil
 }
 
-// stop ends the process as a node does.
+// stop stops the process in the order in which a node does.
 func (p *process) stop() {
 	p.cancel()
 	p.server.Stop()
@@ -130,7 +130,7 @@
 	p.tasks.Wait()
 }
 
-// follow opens a link as a child that a test drives by hand.
+// follow opens a link as a child. The test sends and receives on the returned stream itself.
 func (p *process) follow() (rpc.FollowClientStream, context.CancelFunc) {
 	pool := rpc.NewPool(nil, nil)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -148,35 +148,35 @@
 	var before []gleak.Goroutine
 	BeforeEach(func() {
 		before = gleak.Goroutines()
-		// Registered first, so that it runs after all processes of the spec are stopped. Guards against goroutines that
-		// outlive a stop.
-		DeferCleanup(func() { Eventually(gleak.Goroutines, patience).ShouldNot(gleak.HaveLeaked(before)) })
+		// Guards against goroutines that keep running after a stop. The check is registered first, so that it runs after all
+		// processes of the spec have stopped.
+		DeferCleanup(func() { Eventually(gleak.Goroutines, testTimeout).ShouldNot(gleak.HaveLeaked(before)) })
 	})
 
-	// Guards against a peer that stops reading and thereby holds memory without bound or the control goroutine.
+	// Guards against a peer that stops reading and so makes the queue grow without bound or blocks the control goroutine.
 	It("drops a peer that stops reading, and serves the others", func() {
 		p := start()
 		slow, _ := p.follow()
-		Eventually(p.peer.upLinks, patience).Should(HaveLen(1))
+		Eventually(p.peer.upLinks, testTimeout).Should(HaveLen(1))
 		id := p.peer.upLinks()[0]
 		healthy, _ := p.follow()
-		Eventually(p.peer.upLinks, patience).Should(HaveLen(2))
+		Eventually(p.peer.upLinks, testTimeout).Should(HaveLen(2))
 		large := relay.Message{Crashes: &relay.Crashes{Reports: []relay.CrashReport{{Payload: bytes.Repeat([]byte{1}, 64<<10)}}}}
 		for range 2000 {
 			p.peer.emit(relay.Send{Link: id, Message: large})
 		}
-		Eventually(p.peer.downLinks, patience).Should(Equal([]relay.LinkID{id}))
+		Eventually(p.peer.downLinks, testTimeout).Should(Equal([]relay.LinkID{id}))
 		p.peer.emit(relay.Send{Link: p.peer.upLinks()[1], Message: large})
 		frame, err := healthy.Recv()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(frame.Message.Crashes).NotTo(BeNil())
-		// What was on the way may still arrive, but the stream ends.
-		Eventually(func() error { _, err := slow.Recv(); return err }, patience).Should(HaveOccurred())
+		// Frames in flight may still arrive before the stream ends.
+		Eventually(func() error { _, err := slow.Recv(); return err }, testTimeout).Should(HaveOccurred())
 		Expect(p.peer.downLinks()).To(Equal([]relay.LinkID{id}))
 	})
 
-	// Guards against links that end without a report, which leaves a child without a parent, and against a second
-	// report, which could concern a later link.
+	// Guards against a link that ends without a report, which leaves a child without a parent, and against a second report
+	// of the same link, which could be applied to a later link.
 	It("reports the end of each link once", func() {
 		p, parent := start(), start()
 		const outbound, refused = relay.LinkID(1 << 40), relay.LinkID(1<<40 + 1)
@@ -187,24 +187,24 @@
 			relay.Dial{Link: outbound, Address: parent.server.Address()},
 			relay.Dial{Link: refused, Address: closed.Addr().String()},
 		)
-		child, leave := p.follow()
-		Eventually(p.peer.upLinks, patience).Should(ConsistOf(outbound, BeNumerically("<", outbound)))
-		Eventually(p.peer.downLinks, patience).Should(ConsistOf(refused))
+		child, disconnect := p.follow()
+		Eventually(p.peer.upLinks, testTimeout).Should(ConsistOf(outbound, BeNumerically("<", outbound)))
+		Eventually(p.peer.downLinks, testTimeout).Should(ConsistOf(refused))
 		Expect(child.Send(&protocol.FollowFrame{Message: &relay.Message{Poll: &relay.Poll{Sequence: 1}}})).To(Succeed())
-		Eventually(p.peer.stepCount, patience).Should(Equal(1))
-		leave()
-		Eventually(p.peer.downLinks, patience).Should(HaveLen(2))
+		Eventually(p.peer.stepCount, testTimeout).Should(Equal(1))
+		disconnect()
+		Eventually(p.peer.downLinks, testTimeout).Should(HaveLen(2))
 		parent.stop()
-		Eventually(p.peer.downLinks, patience).Should(HaveLen(3))
+		Eventually(p.peer.downLinks, testTimeout).Should(HaveLen(3))
 		p.stop()
 		Expect(p.peer.downLinks()).To(ConsistOf(outbound, refused, BeNumerically("<", outbound)))
 	})
 
-	// Guards against a report of a link that the peer itself closed, and against queued messages that the close drops.
+	// Guards against a report about a link that the peer itself closed, and against a close that drops queued messages.
 	It("sends what is queued before a close and does not report it", func() {
 		p := start()
 		child, _ := p.follow()
-		Eventually(p.peer.upLinks, patience).Should(HaveLen(1))
+		Eventually(p.peer.upLinks, testTimeout).Should(HaveLen(1))
 		id := p.peer.upLinks()[0]
 		p.peer.emit(relay.Send{Link: id, Message: relay.Message{Redirect: &relay.Redirect{}}}, relay.Close{Link: id})
 		frame, err := child.Recv()
@@ -216,12 +216,12 @@
 		Expect(p.peer.downLinks()).To(BeEmpty())
 	})
 
-	// Guards against callers that wait for a control goroutine that has ended.
-	It("refuses work and links after its end", func() {
+	// Guards against a call of Query that waits forever for a control goroutine that has returned.
+	It("returns ErrStopped from Query after it has stopped", func() {
 		p := start()
 		p.follow()
 		p.cancel()
-		Eventually(func() error { return p.host.Query(context.Background(), func(time.Time) {}) }, patience).
+		Eventually(func() error { return p.host.Query(context.Background(), func(time.Time) {}) }, testTimeout).
 			Should(MatchError(mesh.ErrStopped))
 		p.stop()
 	})
