--- a/local/local.go
+++ b/local/local.go
@@ -1,5 +1,5 @@
-// Package local runs a whole deployment in one process on loopback: control members and nodes with their real code,
-// for the dev command and for experiments.
+// Package local runs a whole deployment in one process on loopback addresses, with the code of the real control members
+// and nodes. The dev command and the experiments use it.
 package local
 
 import (
@@ -32,22 +32,22 @@
 
 // Errors of this package.
 var (
-	// ErrUnknownProcess reports a member or node that does not exist.
+	// ErrUnknownProcess reports an identifier that no member or node has.
 	ErrUnknownProcess = errors.New("local: unknown process")
-	// ErrRunning and ErrDown report a process that is not in the state that the operation needs.
+	// ErrRunning reports an operation on a running process that must be down, ErrDown the opposite.
 	ErrRunning = errors.New("local: process is running")
 	ErrDown    = errors.New("local: process is down")
-	// ErrNotInForce means that the first bundle did not come into force in time.
+	// ErrNotInForce reports that the context ended before the first bundle was in force on every node.
 	ErrNotInForce = errors.New("local: first bundle is not in force everywhere")
 )
 
-// kindLedger labels the traffic of irreversible calls' records, which is no configuration traffic.
+// kindLedger labels the traffic of the ledger of irreversible calls, which does not count as control traffic.
 const kindLedger shape.Kind = "ledger"
 
-// pollInterval is the time between two looks at a condition that a caller waits for.
+// pollInterval is the pause between two checks of a condition that a method waits for.
 const pollInterval = 5 * time.Millisecond
 
-// Options adds to an experiment.Spec what only this implementation knows.
+// Options are the settings of a Deployment that experiment.Spec does not have.
 type Options struct {
 	Logger zerolog.Logger
 	Policy balance.Policy
@@ -55,7 +55,7 @@
 	Relay relay.Config
 }
 
-// Deployment implements experiment.Deployment with real processes' code.
+// Deployment implements experiment.Deployment with control.Member and node.Node.
 type Deployment struct {
 	experiment.NetworkFaults
 
@@ -64,37 +64,43 @@
 	addresses *loopback.Addresses
 	keyring   *bundle.Keyring
 
-	mu           sync.Mutex
-	members      map[string]*memberInstance
-	nodes        map[string]*nodeInstance
-	memberOrder  []string
+	mu sync.Mutex
+	// members also holds replaced members; memberOrder holds the identifiers of the current ones.
+	members     map[string]*memberInstance
+	nodes       map[string]*nodeInstance
+	memberOrder []string
+	// replacements counts the members that ReplaceMember added.
 	replacements int
 }
 
 var _ experiment.Deployment = (*Deployment)(nil)
 
-// memberInstance is the instance of a control member.
+// memberInstance is the instance on which a control member runs. It keeps its address and data folder while the member
+// is down.
 type memberInstance struct {
 	spec   experiment.MemberSpec
 	ip     string
 	folder string
-	// joinsGroup tells that the member joined an existing group.
+	// joinsGroup is set for a member that joins an existing group instead of founding one.
 	joinsGroup bool
-	running    *control.Member
+	// running is nil while the member is down.
+	running *control.Member
 }
 
 func (s *memberInstance) mesh() string  { return loopback.WithPort(s.ip, loopback.PortMesh) }
 func (s *memberInstance) admin() string { return loopback.WithPort(s.ip, loopback.PortAdmin) }
 
-// nodeInstance is the instance of a node.
+// nodeInstance is the instance on which a node runs. It keeps its address while the node is down.
 type nodeInstance struct {
-	spec    experiment.NodeSpec
-	ip      string
+	spec experiment.NodeSpec
+	ip   string
+	// running is nil while the node is down.
 	running *node.Node
+	// applied is the last bundle that the node put in force since its start.
 	applied experiment.Applied
 }
 
-// New prepares a deployment.
+// New prepares a deployment; Start starts its processes.
 func New(spec experiment.Spec, options Options) (*Deployment, error) {
 	addresses, err := loopback.New()
 	if err != nil {
@@ -113,18 +119,18 @@
 	for _, member := range spec.Members {
 		d.addMember(member)
 	}
-	for _, described := range spec.Nodes {
-		instance := &nodeInstance{spec: described, ip: addresses.Next()}
-		d.nodes[described.ID] = instance
+	for _, nodeSpec := range spec.Nodes {
+		instance := &nodeInstance{spec: nodeSpec, ip: addresses.Next()}
+		d.nodes[nodeSpec.ID] = instance
 		for _, port := range []int{loopback.PortCallers, loopback.PortMesh, loopback.PortAdmin} {
-			d.register(loopback.WithPort(instance.ip, port), described.Zone, described.ID)
+			d.register(loopback.WithPort(instance.ip, port), nodeSpec.Zone, nodeSpec.ID)
 		}
 	}
 	return d, nil
 }
 
-// Factory builds deployments for experiments: the baseline if the spec asks for it. Only errors are logged, since the
-// report says the rest.
+// Factory creates the deployment of an experiment, or the naive baseline if spec.Baseline is set. The processes log
+// errors only, since the experiment's report has the rest.
 func Factory(spec experiment.Spec) (experiment.Deployment, error) {
 	if spec.Baseline {
 		return naive.New(spec)
@@ -136,6 +142,7 @@
 	return New(spec, Options{Logger: logger})
 }
 
+// addMember gives a new member an instance. The lock is held, except in New.
 func (d *Deployment) addMember(spec experiment.MemberSpec) *memberInstance {
 	instance := &memberInstance{spec: spec, ip: d.addresses.Next(), folder: filepath.Join(d.spec.DataFolder, spec.ID)}
 	d.members[spec.ID] = instance
@@ -145,6 +152,7 @@
 	return instance
 }
 
+// register tells the simulated network which process listens on an address.
 func (d *Deployment) register(address, zone, process string) {
 	d.spec.Network.Register(address, shape.Endpoint{Zone: zone, Process: process})
 }
@@ -156,8 +164,8 @@
 			return err
 		}
 	}
-	for _, described := range d.spec.Nodes {
-		if err := d.StartNode(ctx, described.ID); err != nil {
+	for _, nodeSpec := range d.spec.Nodes {
+		if err := d.StartNode(ctx, nodeSpec.ID); err != nil {
 			return err
 		}
 	}
@@ -179,11 +187,12 @@
 			return nil
 		}
 		if err := pause(ctx); err != nil {
-			return errors.Wrap(err, "local: no leader")
+			return errors.Wrap(err, "local: no leader was elected")
 		}
 	}
 }
 
+// approveInitial stages and approves the first bundle, and tries again unless the group refuses it.
 func (d *Deployment) approveInitial(ctx context.Context) error {
 	for {
 		leader, _ := d.Leader()
@@ -206,8 +215,8 @@
 func (d *Deployment) waitInForce(ctx context.Context, version uint64) error {
 	for {
 		waiting := 0
-		for _, described := range d.spec.Nodes {
-			if applied, ok := d.InForce(described.ID); !ok || applied.Version < version {
+		for _, nodeSpec := range d.spec.Nodes {
+			if applied, ok := d.InForce(nodeSpec.ID); !ok || applied.Version < version {
 				waiting++
 			}
 		}
@@ -215,11 +224,12 @@
 			return nil
 		}
 		if err := pause(ctx); err != nil {
-			return errors.Wrapf(ErrNotInForce, "%d nodes wait: %v", waiting, err)
+			return errors.Wrapf(ErrNotInForce, "%d nodes do not have it in force: %v", waiting, err)
 		}
 	}
 }
 
+// pause waits for pollInterval, or returns an error if the context ends before.
 func pause(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -229,7 +239,7 @@
 	}
 }
 
-// Close ends all processes at once.
+// Close kills all processes.
 func (d *Deployment) Close() error {
 	d.mu.Lock()
 	var running []interface{ Kill() }
@@ -255,7 +265,7 @@
 	return nil
 }
 
-// Address returns the addresses of a node.
+// Address returns the addresses of a node, or empty ones if the node does not exist.
 func (d *Deployment) Address(id string) experiment.NodeAddress {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -284,7 +294,7 @@
 	return append([]string(nil), d.memberOrder...)
 }
 
-// meshAddresses lists the members' addresses, those of the given zone first. The lock is held.
+// meshAddresses returns the mesh addresses of the members, those in the given zone first. The lock is held.
 func (d *Deployment) meshAddresses(zone string) []string {
 	var sameZone, otherZones []string
 	for _, id := range d.memberOrder {
@@ -303,7 +313,8 @@
 	return func(ctx context.Context, address string) (net.Conn, error) { return dial(ctx, "tcp", address) }
 }
 
-// operatorClient returns a client of one member. Operators sit beside the member that they talk to.
+// operatorClient returns a client of one member's operator API. It dials without the simulated network, as an operator
+// on the member's own instance would.
 func (d *Deployment) operatorClient(member string) (*operator.Client, error) {
 	d.mu.Lock()
 	instance := d.members[member]
@@ -316,6 +327,7 @@
 	})
 }
 
+// ensureSigned returns the approval as it is if it has a signature, and signed by its operator otherwise.
 func (d *Deployment) ensureSigned(approval bundle.Approval) bundle.Approval {
 	if len(approval.Signature) > 0 {
 		return approval
@@ -323,7 +335,7 @@
 	return bundle.Sign(d.spec.Operators[approval.Operator], approval)
 }
 
-// Stage sends a bundle's parts to the members ahead of its approval.
+// Stage sends a bundle to the group through a member, ahead of its approval.
 func (d *Deployment) Stage(ctx context.Context, member string, signed experiment.Signed) (experiment.Verdict, error) {
 	client, err := d.operatorClient(member)
 	if err != nil {
@@ -344,7 +356,7 @@
 	return verdictFromError(err)
 }
 
-// Approve submits the approval of a staged bundle.
+// Approve submits the approval of a staged bundle to the group through a member.
 func (d *Deployment) Approve(ctx context.Context, member string, signed experiment.Signed) (experiment.Verdict, error) {
 	client, err := d.operatorClient(member)
 	if err != nil {
@@ -356,7 +368,8 @@
 	return verdictFromError(err)
 }
 
-// verdictFromError tells a refusal, which is final, from a lost answer.
+// verdictFromError turns the errors that refuse a request for good into a verdict. Other errors are returned: the
+// request may have been executed or not, and may be sent again.
 func verdictFromError(err error) (experiment.Verdict, error) {
 	var refusal *operator.Error
 	switch {
@@ -374,7 +387,7 @@
 	}
 }
 
-// InForce returns what a node has in force.
+// InForce returns the bundle in force on a node, or false if the node is down or has none.
 func (d *Deployment) InForce(id string) (experiment.Applied, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/local/loopback/loopback.go
+++ b/local/loopback/loopback.go
@@ -1,5 +1,6 @@
-// Package loopback hands out loopback addresses to the processes of a deployment that runs in one process. Each process
-// has an address of its own, as instances have in a real deployment, so that a restarted process finds its ports free.
+// Package loopback assigns loopback addresses to the members and nodes of a deployment that runs in one operating
+// system process. Each has an address of its own, as instances have in a real deployment, so that its ports are free
+// when it restarts.
 package loopback
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The ports of a process.
+// The ports on which a member or node listens, the same on every address.
 const (
 	PortCallers = 7080
 	PortMesh    = 7443
@@ -27,41 +28,45 @@
 	hostsPerByte    = 254
 )
 
-// retryInterval is the time between two attempts to open a port.
+// retryInterval is the pause between two attempts to open a port.
 const retryInterval = 5 * time.Millisecond
 
-// Addresses hands out loopback addresses 127.N.x.y of one network N. It is not safe for concurrent use.
+// Addresses assigns the addresses 127.N.x.y of one loopback network N. It is not safe for concurrent use.
 type Addresses struct {
 	network int
-	next    int
-	guard   net.Listener
+	// last is the number of the last assigned address. Assignment begins at 2; guard has number 0.
+	last int
+	// guard is open as long as the network is in use.
+	guard net.Listener
 }
 
-// New takes a free network. The listener on its first address keeps other deployments away.
+// New chooses a network that no other deployment uses. It listens on the network's first address, which fails for a
+// network in use.
 func New() (*Addresses, error) {
 	for range networkAttempts {
 		network := firstNetwork + rand.IntN(networkCount)
 		guard, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", network, PortAdmin))
 		if err == nil {
-			return &Addresses{network: network, next: 1, guard: guard}, nil
+			return &Addresses{network: network, last: 1, guard: guard}, nil
 		}
 	}
-	return nil, errors.New("loopback: no free loopback network")
+	return nil, errors.New("loopback: all networks tried among 127.10.0.0/16 to 127.209.0.0/16 are in use")
 }
 
-// Next returns the next address.
+// Next returns an address that it has not returned before.
 func (a *Addresses) Next() string {
-	a.next++
-	return fmt.Sprintf("127.%d.%d.%d", a.network, a.next/hostsPerByte, a.next%hostsPerByte+1)
+	a.last++
+	return fmt.Sprintf("127.%d.%d.%d", a.network, a.last/hostsPerByte, a.last%hostsPerByte+1)
 }
 
-// Release gives the network back.
+// Release lets other deployments use the network.
 func (a *Addresses) Release() { _ = a.guard.Close() }
 
 // WithPort returns the host:port of an address.
 func WithPort(ip string, port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 
-// Listen opens the ports of a process; a port of a process that has just died may take a moment to become free.
+// Listen opens ports on an address. It retries until the context ends, since the ports of a process that has just been
+// killed may still be in use.
 func Listen(ctx context.Context, ip string, ports ...int) ([]net.Listener, error) {
 	var listeners []net.Listener
 	for _, port := range ports {
--- a/local/naive/call.go
+++ b/local/naive/call.go
@@ -19,20 +19,20 @@
 const (
 	// maxAttempts bounds the attempts of an idempotent call.
 	maxAttempts = 3
-	// maxCallBytes bounds the body of a call.
+	// maxCallBytes bounds the body of a caller's request.
 	maxCallBytes = 1 << 20
 )
 
-// upstreamResponse is an upstream's whole upstreamResponse.
+// upstreamResponse is a response of an upstream with its whole body.
 type upstreamResponse struct {
 	status int
 	header http.Header
 	body   []byte
-	// externalTime is the time outside the proxy: in the upstream and on the links between zones.
+	// externalTime is the time that the call spent outside the proxy: in the upstream and on the links between zones.
 	externalTime time.Duration
 }
 
-// serveCall forwards a caller's request.
+// serveCall forwards a caller's request and reports the latency that the proxy added in a response header.
 func (p *proxy) serveCall(w http.ResponseWriter, r *http.Request) {
 	started := time.Now()
 	current := p.current.Load()
@@ -67,7 +67,7 @@
 	}
 }
 
-// timeLeft returns the route's deadline or the caller's, whichever is shorter.
+// timeLeft returns the time limit of the route or that of the caller's request, whichever is shorter.
 func timeLeft(r *http.Request, route *routing.Route) time.Duration {
 	left := time.Duration(route.DeadlineMs) * time.Millisecond
 	milliseconds, err := strconv.Atoi(r.Header.Get(protocol.HeaderDeadline))
@@ -77,8 +77,8 @@
 	return min(left, time.Duration(milliseconds)*time.Millisecond)
 }
 
-// forwardWithRetries tries upstreams in turn. Failures and answers with status 503 of idempotent calls are retried. It returns no
-// answer if all attempts failed; known tells whether any upstream was known.
+// forwardWithRetries tries upstreams in turn. It retries after errors and status 503, unless the call is irreversible.
+// The response is nil if all attempts failed; known reports whether the proxy knows an upstream of the service.
 func (p *proxy) forwardWithRetries(ctx context.Context, r *http.Request, route *routing.Route, body []byte) (received *upstreamResponse, known bool) {
 	attempts := maxAttempts
 	if route.Class == bundle.ClassIrreversible {
@@ -105,6 +105,7 @@
 // again by itself after a broken connection.
 type plainReader struct{ io.Reader }
 
+// forward makes one attempt at one upstream.
 func (p *proxy) forward(
 	ctx context.Context, r *http.Request, route *routing.Route, target upstream, body []byte,
 ) (*upstreamResponse, error) {
@@ -146,7 +147,7 @@
 	return received, nil
 }
 
-// timing measures one attempt. The transport calls the hooks from other goroutines.
+// timing measures one attempt. net/http calls the hooks from other goroutines.
 type timing struct {
 	mu                        sync.Mutex
 	requestWritten, firstByte time.Time
@@ -166,8 +167,8 @@
 	})
 }
 
-// timeToFirstByte is the time from the written request to the first byte of the answer. An upstream may answer before the
-// whole request was written.
+// timeToFirstByte returns the time from the end of the request to the first byte of the response, or 0 if the upstream
+// responded before the whole request was written.
 func (t *timing) timeToFirstByte() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,10 +190,11 @@
 	header.Set(protocol.HeaderOutcome, string(protocol.OutcomeDone))
 	header.Set(protocol.HeaderAddedTime, strconv.FormatInt(max(added, 0).Microseconds(), 10))
 	w.WriteHeader(received.status)
-	// A caller that went away needs no answer.
+	// Fails if the caller has closed the connection.
 	_, _ = w.Write(received.body)
 }
 
+// refuse responds with the outcome and reason of a call that the proxy could not complete.
 func refuse(w http.ResponseWriter, outcome protocol.Outcome, reason protocol.Reason, status int) {
 	w.Header().Set(protocol.HeaderOutcome, string(outcome))
 	w.Header().Set(protocol.HeaderReason, string(reason))
--- a/local/naive/controller.go
+++ b/local/naive/controller.go
@@ -14,13 +14,13 @@
 	"sapphiregate.example/sapphiregate/transport/shape"
 )
 
-// approvedBundle is an approved bundle as it is pushed.
+// approvedBundle is a bundle with its approval, as operators send it and the control process pushes it.
 type approvedBundle struct {
 	Approval bundle.Approval `json:"approval"`
 	Bundle   *bundle.Bundle  `json:"bundle"`
 }
 
-// upstream is one entry of the pushed list.
+// upstream is one entry of the list of upstreams that the control process pushes.
 type upstream struct {
 	Node    string `json:"node"`
 	Zone    string `json:"zone"`
@@ -28,7 +28,8 @@
 	Address string `json:"address"`
 }
 
-// heartbeat is a proxy's report. Admin is its administration address, and Upstream the upstream beside it, if any.
+// heartbeat is a proxy's regular report. Admin is its administration address, Version the version in force on it, and
+// Upstream the upstream on its instance, if any.
 type heartbeat struct {
 	Admin    string    `json:"admin"`
 	Version  uint64    `json:"version"`
@@ -37,7 +38,7 @@
 	at time.Time
 }
 
-// controller is the control process. All its state is in memory.
+// controller is the control process. It keeps all its state in memory.
 type controller struct {
 	*process
 	keys *bundle.Keyring
@@ -72,11 +73,11 @@
 	if !decodeJSON(w, r, &offered) {
 		return
 	}
-	// An operator that is gone resends and gets the same verdict.
+	// Fails if the operator has closed the connection. It may send the approval again and gets the same verdict.
 	_ = json.NewEncoder(w).Encode(c.approve(offered))
 }
 
-// approve takes a valid bundle with a greater version as the latest one and pushes it.
+// approve makes a valid bundle the latest one if its version is greater, and starts the push to all proxies.
 func (c *controller) approve(offered approvedBundle) experiment.Verdict {
 	if err := c.keys.Verify(offered.Approval); err != nil {
 		return experiment.Verdict{Reason: err.Error()}
@@ -92,9 +93,9 @@
 	latest := c.latest.Approval
 	switch {
 	case offered.Approval.Version < latest.Version:
-		return experiment.Verdict{Reason: "naive: version is old"}
+		return experiment.Verdict{Reason: "naive: version is older than the latest one"}
 	case offered.Approval.Version == latest.Version && offered.Approval.Digest != latest.Digest:
-		return experiment.Verdict{Winner: latest.Digest, Reason: "naive: version is taken"}
+		return experiment.Verdict{Winner: latest.Digest, Reason: "naive: version is taken by a bundle with another digest"}
 	case offered.Approval.Version > latest.Version:
 		c.latest = offered
 		c.wakeAll()
@@ -125,8 +126,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// push sends the latest bundle unless the proxy has acknowledged it, and the list of upstreams. The next round repeats
-// what failed.
+// push sends a proxy the latest bundle, unless the proxy has confirmed it, and the list of upstreams. What fails is
+// repeated after controlInterval.
 func (c *controller) push(proxy string) {
 	c.mu.Lock()
 	latest, confirmed, upstreams := c.latest, c.confirmedVersions[proxy], c.upstreams()
@@ -140,7 +141,7 @@
 	_ = sendJSON(c.ctx, c.client, http.MethodPut, "http://"+proxy+pathUpstreams, upstreams, nil)
 }
 
-// upstreams returns what the proxies reported lately, in a stable order. The lock is held.
+// upstreams returns the upstreams of all heartbeats younger than maxReportAge, ordered by node. The lock is held.
 func (c *controller) upstreams() []upstream {
 	list := []upstream{}
 	for _, received := range c.heartbeats {
--- a/local/naive/naive.go
+++ b/local/naive/naive.go
@@ -1,5 +1,6 @@
-// Package naive is the baseline that experiments compare with: one control process without a disk that pushes whole
-// bundles, and proxies that forward round robin with blind retries.
+// Package naive is the baseline of the experiments, a simple system such as a team would otherwise write: one control
+// process that keeps its state in memory and pushes whole bundles, and proxies that forward calls round robin and retry
+// without regard to load.
 package naive
 
 import (
@@ -20,39 +21,41 @@
 
 // Errors of this package.
 var (
-	// ErrUnknownProcess reports a member or node that does not exist.
+	// ErrUnknownProcess reports an identifier that no member or node has.
 	ErrUnknownProcess = errors.New("naive: unknown process")
-	// ErrRunning and ErrDown report a process that is not in the state that the operation needs.
+	// ErrRunning reports an operation on a running process that must be down, ErrDown the opposite.
 	ErrRunning = errors.New("naive: process is running")
 	ErrDown    = errors.New("naive: process is down")
 )
 
 const (
-	// kindOperator labels the traffic between an operator and the control process beside it, which is no configuration
-	// traffic.
+	// kindOperator labels the traffic between an operator and the control process on the same instance, which does not
+	// count as control traffic.
 	kindOperator shape.Kind = "operator"
-	// pollInterval is the time between two looks at a condition that a caller waits for.
+	// pollInterval is the pause between two checks of a condition that a method waits for.
 	pollInterval = 5 * time.Millisecond
 )
 
-// member is the instance of a control member. Only the first member runs the control process; the others merely stand
-// for the places from which operators reach it.
+// member is the instance of a control member. Only the first member runs the control process. The others run nothing:
+// each only provides a zone from which an operator sends requests to the control process.
 type member struct {
 	spec    experiment.MemberSpec
 	running bool
+	// control is nil on all members but the first, and while that is down.
 	control *controller
 }
 
-// nodeInstance is the nodeInstance of a node.
+// nodeInstance is the instance on which a node, a proxy, runs. It keeps its address while the proxy is down.
 type nodeInstance struct {
-	spec    experiment.NodeSpec
-	ip      string
+	spec experiment.NodeSpec
+	ip   string
+	// running is nil while the proxy is down.
 	running *proxy
 }
 
 func (i *nodeInstance) admin() string { return loopback.WithPort(i.ip, loopback.PortAdmin) }
 
-// Deployment implements experiment.Deployment.
+// Deployment implements experiment.Deployment with the baseline.
 type Deployment struct {
 	experiment.NetworkFaults
 
@@ -69,7 +72,7 @@
 
 var _ experiment.Deployment = (*Deployment)(nil)
 
-// New prepares a deployment.
+// New prepares a deployment; Start starts its processes.
 func New(spec experiment.Spec) (*Deployment, error) {
 	addresses, err := loopback.New()
 	if err != nil {
@@ -85,15 +88,15 @@
 		spec: spec, addresses: addresses, keyring: bundle.NewKeyring(keys), controlIP: addresses.Next(),
 		nodes: make(map[string]*nodeInstance),
 	}
-	for _, described := range spec.Members {
-		d.members = append(d.members, &member{spec: described})
+	for _, memberSpec := range spec.Members {
+		d.members = append(d.members, &member{spec: memberSpec})
 	}
 	d.registerControl()
-	for _, described := range spec.Nodes {
-		instance := &nodeInstance{spec: described, ip: addresses.Next()}
-		d.nodes[described.ID] = instance
+	for _, nodeSpec := range spec.Nodes {
+		instance := &nodeInstance{spec: nodeSpec, ip: addresses.Next()}
+		d.nodes[nodeSpec.ID] = instance
 		for _, port := range []int{loopback.PortCallers, loopback.PortAdmin} {
-			endpoint := shape.Endpoint{Zone: described.Zone, Process: described.ID}
+			endpoint := shape.Endpoint{Zone: nodeSpec.Zone, Process: nodeSpec.ID}
 			spec.Network.Register(loopback.WithPort(instance.ip, port), endpoint)
 		}
 	}
@@ -102,7 +105,7 @@
 
 func (d *Deployment) control() string { return loopback.WithPort(d.controlIP, loopback.PortMesh) }
 
-// registerControl names the first member as the process at the control address.
+// registerControl tells the simulated network that the first member listens on the control address.
 func (d *Deployment) registerControl() {
 	first := d.members[0].spec
 	d.spec.Network.Register(d.control(), shape.Endpoint{Zone: first.Zone, Process: first.ID})
@@ -115,8 +118,8 @@
 			return err
 		}
 	}
-	for _, described := range d.spec.Nodes {
-		if err := d.StartNode(ctx, described.ID); err != nil {
+	for _, nodeSpec := range d.spec.Nodes {
+		if err := d.StartNode(ctx, nodeSpec.ID); err != nil {
 			return err
 		}
 	}
@@ -134,7 +137,7 @@
 	return nil
 }
 
-// approveInitial repeats the approval while answers are lost, as on a busy machine.
+// approveInitial approves the first bundle, and tries again after errors such as timeouts on a busy machine.
 func (d *Deployment) approveInitial(ctx context.Context) error {
 	for {
 		verdict, err := d.Approve(ctx, d.Members()[0], d.spec.Initial)
@@ -150,6 +153,7 @@
 	}
 }
 
+// pause waits for pollInterval, or returns an error if the context ends before.
 func pause(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -168,10 +172,10 @@
 	return true
 }
 
-// Close ends all processes at once.
+// Close kills all processes.
 func (d *Deployment) Close() error {
 	for _, id := range d.Members() {
-		_ = d.KillMember(id) // A member that is down needs no end.
+		_ = d.KillMember(id) // Fails only for a member that is down.
 	}
 	var group sync.WaitGroup
 	for id := range d.nodes {
@@ -182,7 +186,7 @@
 	return nil
 }
 
-// Address returns the addresses of a node.
+// Address returns the addresses of a node, or empty ones if the node does not exist.
 func (d *Deployment) Address(id string) experiment.NodeAddress {
 	instance := d.nodes[id]
 	if instance == nil {
@@ -202,7 +206,7 @@
 	return list
 }
 
-// Leader returns the first member while it runs.
+// Leader returns the first member, or false while it is down.
 func (d *Deployment) Leader() (string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -212,7 +216,8 @@
 	return d.members[0].spec.ID, true
 }
 
-// find returns the position of a member that runs or is down, as asked for. The lock is held.
+// find returns the index of a member, which must be running or down as the caller requires; otherwise it returns
+// ErrDown or ErrRunning. The lock is held.
 func (d *Deployment) find(id string, running bool) (int, error) {
 	for i, m := range d.members {
 		switch {
@@ -228,7 +233,7 @@
 	return 0, errors.Wrapf(ErrUnknownProcess, "%s", id)
 }
 
-// StartMember starts a member with empty memory.
+// StartMember starts a member without any state.
 func (d *Deployment) StartMember(ctx context.Context, id string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -276,7 +281,7 @@
 	return process.stop(ctx)
 }
 
-// KillMember ends a member at once.
+// KillMember stops a member without a shutdown and aborts its connections, as in a crash.
 func (d *Deployment) KillMember(id string) error {
 	process, err := d.detachMember(id)
 	if err != nil || process == nil {
@@ -287,7 +292,7 @@
 	return nil
 }
 
-// WipeMember does nothing to a member that is down, since members have no data folder.
+// WipeMember only checks that the member is down, since members store no data.
 func (d *Deployment) WipeMember(id string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -295,7 +300,8 @@
 	return err
 }
 
-// ReplaceMember ends a member and starts a new one with empty memory on the same address.
+// ReplaceMember kills a member, if it is running, and starts a new one without any state on the same address. It
+// returns the identifier of the new member.
 func (d *Deployment) ReplaceMember(ctx context.Context, id string) (string, error) {
 	if err := d.KillMember(id); err != nil && !errors.Is(err, ErrDown) {
 		return "", err
@@ -315,7 +321,7 @@
 	return spec.ID, d.StartMember(ctx, spec.ID)
 }
 
-// StartNode starts a node with empty memory.
+// StartNode starts a node without any state.
 func (d *Deployment) StartNode(ctx context.Context, id string) error {
 	instance := d.nodes[id]
 	if instance == nil {
@@ -364,7 +370,7 @@
 	return process.stop(ctx)
 }
 
-// KillNode ends a node at once.
+// KillNode stops a node without a shutdown and aborts its connections, as in a crash.
 func (d *Deployment) KillNode(id string) error {
 	process, err := d.detachNode(id)
 	if err != nil {
@@ -376,7 +382,7 @@
 	return nil
 }
 
-// Stage only checks that the member runs, since an approval carries the whole bundle.
+// Stage only checks that the member is running, since an approval carries the whole bundle.
 func (d *Deployment) Stage(_ context.Context, id string, _ experiment.Signed) (experiment.Verdict, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -384,7 +390,7 @@
 	return experiment.Verdict{Accepted: err == nil}, err
 }
 
-// Approve sends a bundle with its approval from the place of a member to the control process.
+// Approve sends a bundle with its approval to the control process, from the zone of the given member.
 func (d *Deployment) Approve(ctx context.Context, id string, s experiment.Signed) (experiment.Verdict, error) {
 	d.mu.Lock()
 	position, err := d.find(id, true)
@@ -410,7 +416,7 @@
 	return verdict, err
 }
 
-// InForce returns what a node has in force.
+// InForce returns the bundle in force on a node, or false if the node is down or has none.
 func (d *Deployment) InForce(id string) (experiment.Applied, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/local/naive/naive_test.go
+++ b/local/naive/naive_test.go
@@ -22,10 +22,10 @@
 }
 
 var _ = ginkgo.Describe("Deployment", func() {
-	// Guards against a baseline whose faults do not act as the interface says: a restarted node must get bundle and
-	// upstreams again on its old addresses, and a replaced control process must have lost its state and take new
-	// versions. Comparisons with such a baseline would mean nothing.
-	ginkgo.It("serves calls after restarts and loses its state with the control process", func(ctx ginkgo.SpecContext) {
+	// Guards against a baseline that does not react to faults as experiment.Deployment requires, so that comparisons
+	// with it would be invalid: a restarted node must receive the bundle and the upstreams again on its old addresses,
+	// and a replaced control process must have lost its state and accept new versions.
+	ginkgo.It("serves calls after a node restarts, and loses its state when the control process is replaced", func(ctx ginkgo.SpecContext) {
 		const operator = "operator"
 		profile, err := experiment.FindProfile("kalasag")
 		Expect(err).NotTo(HaveOccurred())
--- a/local/naive/process.go
+++ b/local/naive/process.go
@@ -28,13 +28,14 @@
 	controlInterval = time.Second
 	// requestTimeout bounds one push or heartbeat.
 	requestTimeout = time.Second
-	// maxReportAge is the age at which announcements and heartbeats that were not repeated are dropped.
+	// maxReportAge is the age from which announcements and heartbeats are ignored unless they are repeated.
 	maxReportAge = 3 * controlInterval
-	// maxControlBytes bounds the body of a control request.
+	// maxControlBytes bounds the body of a request to the control process or to a proxy's administration address.
 	maxControlBytes = 64 << 20
 )
 
-// process is what the control process and the proxies have in common.
+// process is the part that the control process and the proxies share: servers, an HTTP client and background
+// goroutines.
 type process struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -54,7 +55,7 @@
 	p.loops.Go(func() { _ = server.Serve(listener) })
 }
 
-// repeat runs step at once, every interval and after each wake-up, until the process ends.
+// repeat calls step at once, every controlInterval and when wake receives a value, until the process stops.
 func (p *process) repeat(wake <-chan struct{}, step func()) {
 	ticker := time.NewTicker(controlInterval)
 	defer ticker.Stop()
@@ -68,7 +69,7 @@
 	}
 }
 
-// stop completes the requests in flight and ends the process.
+// stop waits for the requests in flight until the context ends, and stops the process.
 func (p *process) stop(ctx context.Context) error {
 	var err error
 	for _, server := range p.servers {
@@ -78,7 +79,7 @@
 	return err
 }
 
-// kill ends the process at once.
+// kill stops the process and closes its connections without waiting for the requests in flight.
 func (p *process) kill() {
 	p.cancel()
 	for _, server := range p.servers {
@@ -88,7 +89,7 @@
 	p.client.CloseIdleConnections()
 }
 
-// sendJSON sends a value as JSON and decodes the answer into result, unless that is nil.
+// sendJSON sends a value as JSON and decodes the response into result, unless that is nil.
 func sendJSON(ctx context.Context, client *http.Client, method, url string, value, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -110,7 +111,7 @@
 		return err
 	}
 	if response.StatusCode/100 != 2 {
-		return errors.Newf("naive: %s answered %d: %s", url, response.StatusCode, bytes.TrimSpace(content))
+		return errors.Newf("naive: %s responded with status %d: %s", url, response.StatusCode, bytes.TrimSpace(content))
 	}
 	if result == nil {
 		return nil
@@ -118,7 +119,7 @@
 	return json.Unmarshal(content, result)
 }
 
-// decodeJSON decodes the JSON body of a request, or answers with status 400.
+// decodeJSON decodes the JSON body of a request. It responds with status 400 and returns false if that fails.
 func decodeJSON(w http.ResponseWriter, r *http.Request, value any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBytes)).Decode(value); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/local/naive/proxy.go
+++ b/local/naive/proxy.go
@@ -13,15 +13,15 @@
 	"sapphiregate.example/sapphiregate/transport/shape"
 )
 
-// maxIdleConnections bounds the idle connections of a proxy to one upstream. The 16 proxies of the larger profile hold at
-// most 96 of the 120 connections that an upstream accepts.
+// maxIdleConnections bounds the idle connections of a proxy to one upstream. With it, the 16 proxies of the larger
+// profile keep at most 96 of the 120 connections that an upstream accepts.
 const maxIdleConnections = 6
 
 // maxConnections bounds the connections of a proxy to one upstream, because all processes and callers of an experiment
-// share one limit of file descriptors. All proxies together may still open more than an upstream accepts.
+// share one limit on file descriptors. All proxies together may still open more than an upstream accepts.
 const maxConnections = 24
 
-// inForce is the bundle that calls read.
+// inForce is the bundle in force on a proxy, by which it routes calls.
 type inForce struct {
 	applied experiment.Applied
 	routes  *routing.Table
@@ -37,7 +37,7 @@
 	onApplied      func(experiment.Applied)
 }
 
-// proxy takes pushes from the control process and forwards calls.
+// proxy receives bundles and the list of upstreams from the control process, and forwards calls.
 type proxy struct {
 	*process
 	options proxyOptions
@@ -73,7 +73,7 @@
 	return p
 }
 
-// ignorePushes makes later pushes ineffective, so that nothing is reported after the end of the process.
+// ignorePushes makes the proxy ignore later bundles, so that it reports none as applied after it was stopped.
 func (p *proxy) ignorePushes() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,7 +104,7 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// heartbeat reports to the control process; the next one repeats what was lost.
+// heartbeat sends a report to the control process. The next heartbeat makes up for one that is lost.
 func (p *proxy) heartbeat() {
 	report := heartbeat{Admin: p.options.admin, Upstream: p.ownUpstream()}
 	if current := p.current.Load(); current != nil {
@@ -113,6 +113,7 @@
 	_ = sendJSON(p.ctx, p.client, http.MethodPost, "http://"+p.options.control+pathHeartbeat, report, nil)
 }
 
+// ownUpstream returns the upstream that announced itself on this instance within maxReportAge, or nil.
 func (p *proxy) ownUpstream() *upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +124,7 @@
 	return &upstream{Node: spec.ID, Zone: spec.Zone, Service: p.announced.Service, Address: p.announced.Address}
 }
 
-// serveBundle takes a push. A version that is not greater than the one in force changes nothing.
+// serveBundle receives a pushed bundle.
 func (p *proxy) serveBundle(w http.ResponseWriter, r *http.Request) {
 	var pushed approvedBundle
 	if !decodeJSON(w, r, &pushed) {
@@ -138,6 +139,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// apply puts a bundle in force if its version is greater than that of the current one.
 func (p *proxy) apply(pushed approvedBundle, routes *routing.Table) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,6 +157,7 @@
 	}
 }
 
+// serveUpstreams receives the pushed list of upstreams.
 func (p *proxy) serveUpstreams(w http.ResponseWriter, r *http.Request) {
 	var list []upstream
 	if !decodeJSON(w, r, &list) {
@@ -170,7 +173,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// nextUpstream returns the upstreams of a service in turn.
+// nextUpstream returns the upstreams of a service round robin, or false if it has none.
 func (p *proxy) nextUpstream(service string) (upstream, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/local/processes.go
+++ b/local/processes.go
@@ -19,7 +19,7 @@
 	"sapphiregate.example/sapphiregate/transport/shape"
 )
 
-// runnable is an instance that can hold one process.
+// runnable is an instance on which one process can run.
 type runnable interface {
 	comparable
 	isRunning() bool
@@ -28,7 +28,8 @@
 func (s *memberInstance) isRunning() bool { return s.running != nil }
 func (s *nodeInstance) isRunning() bool   { return s.running != nil }
 
-// findInstance returns the instance of a process that is up or down as wanted. The lock is held.
+// findInstance returns the instance of a process, which must be running or down as the caller requires; otherwise it
+// returns ErrDown or ErrRunning. The lock is held.
 func findInstance[S runnable](instances map[string]S, id string, running bool) (S, error) {
 	var none S
 	found := instances[id]
@@ -43,7 +44,7 @@
 	return found, nil
 }
 
-// StartMember starts a member on its data folder.
+// StartMember starts a member with the data folder of its instance.
 func (d *Deployment) StartMember(ctx context.Context, id string) error {
 	d.mu.Lock()
 	instance, err := findInstance(d.members, id, false)
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// founders lists the members of the first group. The lock is held.
+// founders returns the members of which the group is first formed. The lock is held.
 func (d *Deployment) founders() []control.Founder {
 	var founders []control.Founder
 	for _, spec := range d.spec.Members {
@@ -94,7 +95,7 @@
 	return founders
 }
 
-// detachMember marks a member as down and returns its process.
+// detachMember marks a member as down and returns its process for the caller to stop.
 func (d *Deployment) detachMember(id string) (*control.Member, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -116,7 +117,7 @@
 	return member.Stop(ctx)
 }
 
-// KillMember ends a member at once.
+// KillMember stops a member without a shutdown and aborts its connections, as in a crash.
 func (d *Deployment) KillMember(id string) error {
 	member, err := d.detachMember(id)
 	if err != nil {
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// WipeMember erases the data folder of a member that is down.
+// WipeMember deletes the data folder of a member that is down.
 func (d *Deployment) WipeMember(id string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -138,7 +139,8 @@
 	return os.RemoveAll(instance.folder)
 }
 
-// ReplaceMember puts a new member into the place of an old one.
+// ReplaceMember starts a new member with an empty data folder in the zone of an old one, which may be down, and
+// replaces the old member by it in the group. It returns the identifier of the new member.
 func (d *Deployment) ReplaceMember(ctx context.Context, id string) (string, error) {
 	d.mu.Lock()
 	old := d.members[id]
@@ -169,7 +171,7 @@
 	return spec.ID, nil
 }
 
-// replace runs the operators' replacement until it is committed; the request is idempotent.
+// replace repeats tryReplace until it succeeds or the context ends.
 func (d *Deployment) replace(ctx context.Context, oldAddress string, added *memberInstance) error {
 	for {
 		err := d.tryReplace(ctx, oldAddress, added)
@@ -182,6 +184,8 @@
 	}
 }
 
+// tryReplace asks the leader to replace a member. It succeeds without a request if the old member has left the group
+// already, so that it can be repeated after a lost reply.
 func (d *Deployment) tryReplace(ctx context.Context, oldAddress string, added *memberInstance) error {
 	leader, ok := d.Leader()
 	if !ok {
@@ -208,7 +212,7 @@
 	return nil
 }
 
-// Leader returns the member that leads.
+// Leader returns the identifier of the current leader of the group.
 func (d *Deployment) Leader() (string, bool) {
 	d.mu.Lock()
 	running := make(map[string]*control.Member, len(d.members))
@@ -218,7 +222,7 @@
 		}
 	}
 	d.mu.Unlock()
-	// A member that was cut off may still take itself for the leader for a moment; the greatest term is right.
+	// A former leader that lost its connections may consider itself the leader for a short time; the highest term wins.
 	leader, greatest := "", uint64(0)
 	for id, member := range running {
 		if term, leads := member.Leads(); leads && term >= greatest {
@@ -228,7 +232,7 @@
 	return leader, leader != ""
 }
 
-// StartNode starts a node with empty memory.
+// StartNode starts a node without any state.
 func (d *Deployment) StartNode(ctx context.Context, id string) error {
 	d.mu.Lock()
 	instance, err := findInstance(d.nodes, id, false)
@@ -264,6 +268,7 @@
 	return nil
 }
 
+// recordApplied records the bundle that a node put in force and reports it to the experiment.
 func (d *Deployment) recordApplied(instance *nodeInstance, approval bundle.Approval, b *bundle.Bundle, at time.Time) {
 	applied := experiment.Applied{
 		Node: instance.spec.ID, Version: approval.Version, Digest: approval.Digest, Bundle: b, At: at,
@@ -276,6 +281,7 @@
 	}
 }
 
+// detachNode marks a node as down and returns its process for the caller to stop.
 func (d *Deployment) detachNode(id string) (*node.Node, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -297,7 +303,7 @@
 	return process.Stop(ctx)
 }
 
-// KillNode ends a node at once.
+// KillNode stops a node without a shutdown and aborts its connections, as in a crash.
 func (d *Deployment) KillNode(id string) error {
 	process, err := d.detachNode(id)
 	if err != nil {
@@ -308,7 +314,7 @@
 	return nil
 }
 
-// KnownUpstreams returns the number of serving upstreams that a node knows.
+// KnownUpstreams returns the number of serving upstreams that a node knows, or 0 if the node is down.
 func (d *Deployment) KnownUpstreams(id string) int {
 	d.mu.Lock()
 	instance := d.nodes[id]
