--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -53,9 +53,9 @@
 	logFile *os.File
 }
 
-// host is the loopback address on which the processes of this soak listen. It depends on the process id, so that
-// soaks that run at the same time rarely share it, and it is not the source address of outgoing connections
-// (127.0.0.1): neither takes a port of a process that is down.
+// host is the loopback address on which the processes of this soak listen. Other soaks use other addresses, derived
+// from their process ids, and outgoing connections come from 127.0.0.1, so that nothing else takes the port of a
+// process while it is down.
 var host = fmt.Sprintf("127.%d.%d.1", 10+os.Getpid()%200, 1+os.Getpid()/200%250)
 
 // reservedAddresses holds all addresses that listen returned, whether a process listens there at present or not.
