--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -268,6 +268,4 @@
 }
 
 // wipe deletes a member's data folder. The process must be down.
-func (p *process) wipe() error {
-	return errors.Wrap(os.RemoveAll(p.dataFolder), "soak: delete a data folder")
-}
+func (p *process) wipe() error { return errors.Wrap(os.RemoveAll(p.dataFolder), "soak: wipe data") }
