--- a/soak/recorder.go
+++ b/soak/recorder.go
@@ -50,29 +50,29 @@
 }
 
 // logEvent appends a line to the timeline.
-func (h *recorder) logEvent(format string, arguments ...any) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.timeline = append(h.timeline, event{time.Since(h.started), fmt.Sprintf(format, arguments...)})
+func (r *recorder) logEvent(format string, arguments ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.timeline = append(r.timeline, event{time.Since(r.started), fmt.Sprintf(format, arguments...)})
 }
 
 // reportViolation records the violation of a guarantee, also in the timeline.
-func (h *recorder) reportViolation(format string, arguments ...any) {
+func (r *recorder) reportViolation(format string, arguments ...any) {
 	text := fmt.Sprintf(format, arguments...)
-	h.logEvent("BROKEN: %s", text)
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.violations = append(h.violations, text)
+	r.logEvent("BROKEN: %s", text)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.violations = append(r.violations, text)
 }
 
 // requestRan records that an upstream runs an attempt. An irreversible request that runs again is a violation.
-func (h *recorder) requestRan(attempt string) {
-	h.mu.Lock()
-	h.runs[attempt]++
-	ranTwice := h.runs[attempt] > 1 && irreversible(attempt)
-	h.mu.Unlock()
+func (r *recorder) requestRan(attempt string) {
+	r.mu.Lock()
+	r.runs[attempt]++
+	ranTwice := r.runs[attempt] > 1 && irreversible(attempt)
+	r.mu.Unlock()
 	if ranTwice {
-		h.reportViolation("irreversible request %s ran twice", attempt)
+		r.reportViolation("irreversible request %s ran twice", attempt)
 	}
 }
 
@@ -80,37 +80,37 @@
 func irreversible(attempt string) bool { return attempt[0] == 'p' }
 
 // responseReceived records the outcome of an attempt. A successful response must have the body for that attempt.
-func (h *recorder) responseReceived(attempt string, response *http.Response, body []byte) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.responses++
+func (r *recorder) responseReceived(attempt string, response *http.Response, body []byte) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.responses++
 	switch response.Header.Get(headerOutcome) {
 	case outcomeNotRun:
-		h.reportedNotRun[attempt] = true
+		r.reportedNotRun[attempt] = true
 	case outcomeDone:
-		h.served++
+		r.served++
 	}
 	if response.StatusCode == http.StatusOK && string(body) != responseBody(attempt) {
-		h.violations = append(h.violations, fmt.Sprintf("request %s got a wrong or truncated response of %d bytes", attempt, len(body)))
+		r.violations = append(r.violations, fmt.Sprintf("request %s got a wrong or truncated response of %d bytes", attempt, len(body)))
 	}
 }
 
 // checkNotRun checks that no attempt ran whose caller was told that it had not. It is called at the end, since such an
 // attempt may also run after its response.
-func (h *recorder) checkNotRun() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for attempt := range h.reportedNotRun {
-		if h.runs[attempt] > 0 {
-			h.violations = append(h.violations, "request "+attempt+" ran although its caller was told that it had not")
+func (r *recorder) checkNotRun() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for attempt := range r.reportedNotRun {
+		if r.runs[attempt] > 0 {
+			r.violations = append(r.violations, "request "+attempt+" ran although its caller was told that it had not")
 		}
 	}
 }
 
-func (h *recorder) servedCount() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.served
+func (r *recorder) servedCount() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.served
 }
 
 // responseBody is the body that an upstream returns for an attempt.
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -29,30 +29,30 @@
 
 	// Guard against a recorder that misses violations, with which every seed would pass.
 	It("reports an irreversible request that ran twice, but not a lookup that did", func() {
-		h := newRecorder()
-		h.requestRan("l-1")
-		h.requestRan("l-1")
-		Expect(h.violations).To(BeEmpty())
-		h.requestRan("p-1")
-		h.requestRan("p-1")
-		Expect(h.violations).To(HaveLen(1))
+		r := newRecorder()
+		r.requestRan("l-1")
+		r.requestRan("l-1")
+		Expect(r.violations).To(BeEmpty())
+		r.requestRan("p-1")
+		r.requestRan("p-1")
+		Expect(r.violations).To(HaveLen(1))
 	})
 
 	It("reports a request that ran after its response said that it had not", func() {
-		h := newRecorder()
-		h.responseReceived("p-1", response(outcomeNotRun, http.StatusServiceUnavailable), nil)
-		h.requestRan("p-1")
-		h.checkNotRun()
-		Expect(h.violations).To(HaveLen(1))
+		r := newRecorder()
+		r.responseReceived("p-1", response(outcomeNotRun, http.StatusServiceUnavailable), nil)
+		r.requestRan("p-1")
+		r.checkNotRun()
+		Expect(r.violations).To(HaveLen(1))
 	})
 
 	It("reports a response that is truncated or belongs to another request", func() {
-		h := newRecorder()
-		h.responseReceived("l-1", response(outcomeDone, http.StatusOK), []byte(responseBody("l-1")))
-		Expect(h.violations).To(BeEmpty())
-		h.responseReceived("l-2", response(outcomeDone, http.StatusOK), []byte("answer to l-"))
-		h.responseReceived("l-3", response(outcomeDone, http.StatusOK), []byte(responseBody("l-4")))
-		Expect(h.violations).To(HaveLen(2))
+		r := newRecorder()
+		r.responseReceived("l-1", response(outcomeDone, http.StatusOK), []byte(responseBody("l-1")))
+		Expect(r.violations).To(BeEmpty())
+		r.responseReceived("l-2", response(outcomeDone, http.StatusOK), []byte("answer to l-"))
+		r.responseReceived("l-3", response(outcomeDone, http.StatusOK), []byte(responseBody("l-4")))
+		Expect(r.violations).To(HaveLen(2))
 	})
 })
 
