--- a/soak/faults.go
+++ b/soak/faults.go
@@ -53,8 +53,8 @@
 	i.activeFaults.Wait()
 }
 
-// startFault draws one fault and starts it. All random numbers are drawn here, in one goroutine, so that a seed always
-// draws the same ones.
+// startFault draws one fault and starts it. Its random numbers are drawn here and not in the goroutine that carries it
+// out, so that the order of the draws, and with it the schedule, depends on the seed alone.
 func (i *injector) startFault() {
 	all := i.deployment.processes()
 	target := all[i.rng.IntN(len(all))]
