--- a/control/automembership_test.go
+++ b/control/automembership_test.go
@@ -61,7 +61,7 @@
 	}
 	m, err := control.New(control.Options{
 		Zone: "a", MeshListener: listenAt(g.addresses[i]), AdminListener: listenAt("127.0.0.1:0"), Founders: founders,
-		RegistryFolder: disk.NewFake(rand.New(rand.NewSource(int64(i)))), Keys: bundle.NewKeyring(nil).Trust("ops"),
+		RegistryFolder: disk.NewFake(rand.New(rand.NewSource(int64(i)))), Keys: bundle.NewKeyring(nil).WithTrustedOperators("ops"),
 		Voters: 5, Seeds: func() []string { return g.addresses[:3] },
 		ElectionTimeout: 300 * time.Millisecond, HeartbeatInterval: 50 * time.Millisecond,
 		Logger: zerolog.New(GinkgoWriter),
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -144,7 +144,7 @@
 }
 
 func (g *group) request(name string, version uint64, b *bundle.Bundle) operator.ApproveRequest {
-	update, err := bundle.Complete(b)
+	update, err := bundle.FullUpdate(b)
 	Expect(err).NotTo(HaveOccurred())
 	approval := bundle.Approval{Version: version, Digest: update.Target, Operator: name}
 	return operator.ApproveRequest{
@@ -153,7 +153,7 @@
 }
 
 func (g *group) stage(id, name string, version uint64, b *bundle.Bundle) {
-	update, err := bundle.Complete(b)
+	update, err := bundle.FullUpdate(b)
 	Expect(err).NotTo(HaveOccurred())
 	encoded, err := registry.EncodeUpdate(update)
 	Expect(err).NotTo(HaveOccurred())
--- a/control/latestbundle.go
+++ b/control/latestbundle.go
@@ -32,7 +32,7 @@
 // request that is sent again gets the result of the first one.
 func (m *Member) Put(ctx context.Context, put PutRequest) (operator.Decision, error) {
 	bundle.Canonicalize(put.Bundle)
-	update, err := bundle.Complete(put.Bundle)
+	update, err := bundle.FullUpdate(put.Bundle)
 	if err != nil {
 		return operator.Decision{}, &operator.Error{Kind: operator.ErrInvalidBundle, Message: err.Error()}
 	}
--- a/ctl/bundle.go
+++ b/ctl/bundle.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return builtBundle{}, err
 	}
-	update, err := bundle.Complete(b)
+	update, err := bundle.FullUpdate(b)
 	if err != nil {
 		return builtBundle{}, err
 	}
--- a/daemon/check.go
+++ b/daemon/check.go
@@ -156,7 +156,7 @@
 		return err
 	}
 	changed.Routes[0].DeadlineMs++
-	update, err := bundle.Complete(changed)
+	update, err := bundle.FullUpdate(changed)
 	if err != nil {
 		return err
 	}
--- a/daemon/dev.go
+++ b/daemon/dev.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	update, err := bundle.Complete(loaded)
+	update, err := bundle.FullUpdate(loaded)
 	if err != nil {
 		return err
 	}
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -114,7 +114,7 @@
 		}
 		keys = loaded
 	}
-	return keys.Trust(trusted...), nil
+	return keys.WithTrustedOperators(trusted...), nil
 }
 
 func announcementOf(u settings.Upstream) node.Announcement {
--- a/experiment/slope/slope.go
+++ b/experiment/slope/slope.go
@@ -164,7 +164,7 @@
 func (f *fleet) next() (experiment.Signed, error) {
 	f.version++
 	b := f.config.Profile.Bundle(f.version)
-	update, err := bundle.Complete(b)
+	update, err := bundle.FullUpdate(b)
 	return experiment.Signed{
 		Bundle:   b,
 		Approval: bundle.Approval{Version: f.version, Digest: update.Target, Operator: operatorName},
--- a/local/local.go
+++ b/local/local.go
@@ -329,7 +329,7 @@
 	if err != nil {
 		return experiment.Verdict{}, err
 	}
-	update, err := bundle.Complete(signed.Bundle)
+	update, err := bundle.FullUpdate(signed.Bundle)
 	if err != nil {
 		return experiment.Verdict{}, err
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -209,7 +209,7 @@
 	if r.submitted == r.approved {
 		r.submitted++
 	}
-	update, err := bundle.Complete(newBundle(r.submitted))
+	update, err := bundle.FullUpdate(newBundle(r.submitted))
 	if err != nil {
 		r.recorder.reportViolation("the configuration cannot be split: %v", err)
 		return false
--- a/state/bundle/keyring.go
+++ b/state/bundle/keyring.go
@@ -26,9 +26,9 @@
 	trusted map[string]bool
 }
 
-// Trust returns a keyring that also accepts unsigned messages of the named operators. It is for deployments in which
+// WithTrustedOperators returns a keyring that also accepts unsigned messages of the named operators. It is for deployments in which
 // the operator API is reachable only for callers that another system has authorized.
-func (k *Keyring) Trust(operators ...string) *Keyring {
+func (k *Keyring) WithTrustedOperators(operators ...string) *Keyring {
 	next := NewKeyring(k.keys)
 	next.trusted = make(map[string]bool, len(k.trusted)+len(operators))
 	for operator := range k.trusted {
--- a/state/bundle/part.go
+++ b/state/bundle/part.go
@@ -167,8 +167,8 @@
 	return parts, manifest, nil
 }
 
-// Complete returns the update that brings a bundle to a store that holds nothing.
-func Complete(b *Bundle) (Update, error) {
+// FullUpdate returns the update that brings a bundle to a store that holds nothing.
+func FullUpdate(b *Bundle) (Update, error) {
 	parts, manifest, err := Split(b)
 	if err != nil {
 		return Update{}, err
