--- a/experiment/standin/standin.go
+++ b/experiment/standin/standin.go
@@ -26,9 +26,9 @@
 	IP string
 	// NodeID is the node beside the upstream. Admin is that node's address for announcements, and Node its address
 	// for nested calls.
-	NodeID string
-	NodeAdminAddress  string
-	NodeAddress   string
+	NodeID           string
+	NodeAdminAddress string
+	NodeAddress      string
 	// NestPaths are the paths that nested calls take in turn.
 	NestPaths   []string
 	Slots       int
@@ -36,8 +36,8 @@
 	// ConnectDelay is the extra time before the first byte of a new connection is read.
 	ConnectDelay time.Duration
 	// ServiceTimes are the mean service times by class. TimeScale multiplies them; 0 takes 1.
-	ServiceTimes     map[bundle.Class]time.Duration
-	TimeScale float64
+	ServiceTimes map[bundle.Class]time.Duration
+	TimeScale    float64
 	// Recorder receives the ground truth.
 	Recorder *Recorder
 }
@@ -47,7 +47,7 @@
 	// SlowFactor multiplies service times; 0 takes 1.
 	SlowFactor float64
 	// ReportIdle makes the load endpoint report an idle upstream, and LieHealth a healthy one.
-	ReportIdle   bool
+	ReportIdle    bool
 	ReportHealthy bool
 	// Unhealthy makes the health endpoint report failure unless it lies.
 	Unhealthy bool
@@ -56,8 +56,8 @@
 	// TruncateRate cuts answers after half of the body.
 	TruncateRate float64
 	// LateRate delays finished answers by Late.
-	LateRate float64
-	LateDelay     time.Duration
+	LateRate  float64
+	LateDelay time.Duration
 }
 
 const (
--- a/experiment/standin/wire.go
+++ b/experiment/standin/wire.go
@@ -25,12 +25,12 @@
 
 // Headers of the design page, section 5.
 const (
-	HeaderOutcome  = "Sapphire-Outcome"
-	HeaderDeadline = "Sapphire-Deadline-Ms"
-	HeaderDepth    = "Sapphire-Depth"
-	HeaderRetry    = "Sapphire-Retry"
-	HeaderIdempotencyKey      = "Idempotency-Key"
-	HeaderAddedTime    = "Sapphire-Added-Micros"
+	HeaderOutcome        = "Sapphire-Outcome"
+	HeaderDeadline       = "Sapphire-Deadline-Ms"
+	HeaderDepth          = "Sapphire-Depth"
+	HeaderRetry          = "Sapphire-Retry"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderAddedTime      = "Sapphire-Added-Micros"
 )
 
 // OutcomeNotRun is the outcome that an upstream sends when it sheds a request.
