--- a/daemon/root.go
+++ b/daemon/root.go
@@ -42,7 +42,7 @@
 // run calls a command with the logger of the process, which also logs violated invariants. It returns after the log
 // lines of the command are written.
 func (f *logFlags) run(command func(logger zerolog.Logger) error) error {
-	output := logging.NonBlocking(os.Stdout)
+	output := logging.NewNonBlockingOutput(os.Stdout)
 	logger, err := logging.New(output, f.format, f.level)
 	if err != nil {
 		return errors.Mark(err, errUsage)
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -40,8 +40,8 @@
 }
 
 const (
-	// queueLength bounds the lines that wait for a slow reader of the log.
-	queueLength = 4096
+	// maxQueuedLines bounds the lines that wait for a slow reader of the log.
+	maxQueuedLines = 4096
 	// flushTimeout bounds the end of a process whose log nobody reads. A reader that keeps up needs a few milliseconds for
 	// queueLength lines.
 	flushTimeout = 500 * time.Millisecond
@@ -55,12 +55,12 @@
 	queue diode.Writer
 }
 
-// NonBlocking returns an output that never makes a request wait for the reader of the log: lines beyond queueLength are
+// NewNonBlockingOutput returns an output that never makes a request wait for the reader of the log: lines beyond queueLength are
 // dropped, and a line says how many.
-func NonBlocking(out io.Writer) *Output {
+func NewNonBlockingOutput(out io.Writer) *Output {
 	// Only the Write method is passed on: the queue closes writers that can be closed.
 	writer := struct{ io.Writer }{out}
-	return &Output{queue: diode.NewWriter(writer, queueLength, 0, func(missed int) {
+	return &Output{queue: diode.NewWriter(writer, maxQueuedLines, 0, func(missed int) {
 		// The logger itself is behind this writer; a blocked reader gets the line once it reads again.
 		_, _ = fmt.Fprintf(out, `{"level":"warn","part":"log:","dropped":%d,"message":"log lines dropped"}`+"\n", missed)
 	})}
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -20,34 +20,34 @@
 	RunSpecs(t, "logging")
 }
 
-// patience bounds waits for the goroutine that writes lines.
-const patience = 10 * time.Second
+// testTimeout bounds waits for the goroutine that writes lines.
+const testTimeout = 10 * time.Second
 
-// slowReader holds every write until it is opened.
-type slowReader struct {
-	open  chan struct{}
-	mu    sync.Mutex
-	lines bytes.Buffer
+// blockedWriter holds every write until it is opened.
+type blockedWriter struct {
+	unblocked chan struct{}
+	mu        sync.Mutex
+	lines     bytes.Buffer
 }
 
-func (s *slowReader) Write(data []byte) (int, error) {
-	<-s.open
+func (s *blockedWriter) Write(data []byte) (int, error) {
+	<-s.unblocked
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lines.Write(data)
 }
 
-func (s *slowReader) text() string {
+func (s *blockedWriter) text() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lines.String()
 }
 
-var _ = Describe("NonBlocking", func() {
+var _ = Describe("NewNonBlockingOutput", func() {
 	// Guards against a process whose last lines are lost, among them the one that says that it stopped.
 	It("writes the lines that wait before it is closed", func() {
 		var lines bytes.Buffer
-		output := logging.NonBlocking(&lines)
+		output := logging.NewNonBlockingOutput(&lines)
 		for i := range 1000 {
 			fmt.Fprintf(output, "line %d\n", i)
 		}
@@ -58,8 +58,8 @@
 
 	// Guards against a process that cannot end, and against requests that wait, because nobody reads its log.
 	It("neither waits for a reader that has stopped nor hides how many lines it dropped", func() {
-		reader := &slowReader{open: make(chan struct{})}
-		output := logging.NonBlocking(reader)
+		writer := &blockedWriter{unblocked: make(chan struct{})}
+		output := logging.NewNonBlockingOutput(writer)
 		written := make(chan struct{})
 		go func() {
 			defer close(written)
@@ -67,11 +67,11 @@
 				io.WriteString(output, "line\n")
 			}
 		}()
-		Eventually(written).WithTimeout(patience).Should(BeClosed())
+		Eventually(written).WithTimeout(testTimeout).Should(BeClosed())
 		closed := make(chan error, 1)
 		go func() { closed <- output.Close() }()
-		Eventually(closed).WithTimeout(patience).Should(Receive(MatchError(logging.ErrNotFlushed)))
-		close(reader.open)
-		Eventually(reader.text).WithTimeout(patience).Should(ContainSubstring("log lines dropped"))
+		Eventually(closed).WithTimeout(testTimeout).Should(Receive(MatchError(logging.ErrNotFlushed)))
+		close(writer.unblocked)
+		Eventually(writer.text).WithTimeout(testTimeout).Should(ContainSubstring("log lines dropped"))
 	})
 })
