--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,4 +1,5 @@
-// Package invariant counts and reports violations of what the system guarantees. It is active in every build.
+// Package invariant counts and reports violations of the guarantees of the system. The checks are active in every
+// build.
 package invariant
 
 import (
@@ -19,11 +20,11 @@
 	LateDrainWork   Name = "late_drain_work"
 	CutInFlight     Name = "cut_in_flight"
 	RevertedBundle  Name = "reverted_bundle"
-	// Internal covers invariants of one package's own state.
+	// Internal stands for all invariants of the state of a single package, and for names that Names does not list.
 	Internal Name = "internal"
 )
 
-// Names lists the invariants in the order in which reports show them.
+// Names returns the names of all invariants in the order in which reports show them.
 func Names() []Name {
 	return []Name{
 		VersionRollback, DanglingRoute, PartialApply, WrongAnswer, FalseNotRun,
@@ -31,7 +32,7 @@
 	}
 }
 
-// Handler receives each violation. It must be safe for concurrent use.
+// Handler is called for each violation. It must be safe for concurrent use.
 type Handler func(name Name, message string, values map[string]any)
 
 var (
@@ -47,10 +48,10 @@
 	return counts
 }
 
-// SetHandler installs the receiver of violations: a logger in the daemons, a failing assertion in tests.
+// SetHandler replaces the handler of violations: the daemons set one that logs, tests one that fails.
 func SetHandler(h Handler) { handler.Store(&h) }
 
-// Violated reports a violation.
+// Violated counts a violation and passes it to the handler. The values describe the state that violates the invariant.
 func Violated(name Name, message string, values map[string]any) {
 	count, listed := counts[name]
 	if !listed {
@@ -70,7 +71,7 @@
 	return ok
 }
 
-// Counts returns the violations seen by this process.
+// Counts returns the number of violations in this process since its start, by invariant.
 func Counts() map[Name]int64 {
 	result := make(map[Name]int64, len(counts))
 	for name, count := range counts {
--- a/logging/events.go
+++ b/logging/events.go
@@ -1,6 +1,6 @@
 package logging
 
-// Messages of the lines about requests, which sapphirectl trace reads.
+// Messages of log lines about requests. sapphirectl trace finds the lines by these texts.
 const (
 	RequestAnswered = "request answered"
 	RequestFailed   = "request failed"
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging configures zerolog: each part of a process logs under a fixed prefix.
+// Package logging configures zerolog. Each part of a process logs under a fixed prefix.
 package logging
 
 import (
@@ -14,10 +14,10 @@
 	"sapphiregate.example/sapphiregate/invariant"
 )
 
-// partField holds the prefix of the part that logs.
+// partField is the key of the prefix that names the part of the process.
 const partField = "part"
 
-// New returns the logger of a process. The format is "text" or "json".
+// New returns the logger of a process. The format is "text" or "json"; the level is one of those of zerolog.
 func New(out io.Writer, format, level string) (zerolog.Logger, error) {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -40,28 +40,29 @@
 }
 
 const (
-	// maxQueuedLines bounds the lines that wait for a slow reader of the log.
+	// maxQueuedLines bounds the lines that wait for a slow reader of the log. Further lines are dropped.
 	maxQueuedLines = 4096
 	// flushTimeout bounds the end of a process whose log nobody reads. A reader that keeps up needs a few milliseconds for
 	// queueLength lines.
 	flushTimeout = 500 * time.Millisecond
 )
 
-// ErrNotFlushed means that the reader of the log did not take the last lines of a process in time.
+// ErrNotFlushed means that the queued lines were not written within flushTimeout.
 var ErrNotFlushed = errors.New("logging: the last lines were not written")
 
-// Output writes log lines on a goroutine of its own.
+// Output queues log lines and writes them on a separate goroutine.
 type Output struct {
 	queue diode.Writer
 }
 
-// NewNonBlockingOutput returns an output that never makes a request wait for the reader of the log: lines beyond queueLength are
-// dropped, and a line says how many.
+// NewNonBlockingOutput returns an output that never makes a request wait for the reader of the log: lines beyond
+// queueLength are dropped, and a line says how many.
 func NewNonBlockingOutput(out io.Writer) *Output {
-	// Only the Write method is passed on: the queue closes writers that can be closed.
+	// The struct hides any Close method of out, because the queue would call it.
 	writer := struct{ io.Writer }{out}
 	return &Output{queue: diode.NewWriter(writer, maxQueuedLines, 0, func(missed int) {
-		// The logger itself is behind this writer; a blocked reader gets the line once it reads again.
+		// The line is written directly, because the logger writes into the queue. A blocked reader gets it when it reads
+		// again.
 		_, _ = fmt.Fprintf(out, `{"level":"warn","part":"log:","dropped":%d,"message":"log lines dropped"}`+"\n", missed)
 	})}
 }
@@ -69,7 +70,8 @@
 // Write queues a line.
 func (o *Output) Write(line []byte) (int, error) { return o.queue.Write(line) }
 
-// Close writes the lines that wait, for flushTimeout at most. Nothing may be written afterwards.
+// Close writes the queued lines. It returns ErrNotFlushed if that takes longer than flushTimeout. Write must not be
+// called afterwards.
 func (o *Output) Close() error {
 	closed := make(chan error, 1)
 	go func() { closed <- o.queue.Close() }()
@@ -81,12 +83,12 @@
 	}
 }
 
-// Part returns the logger of one part of the process.
+// Part returns a logger that adds the prefix of one part of the process.
 func Part(logger zerolog.Logger, name string) zerolog.Logger {
 	return logger.With().Str(partField, name+":").Logger()
 }
 
-// ReportViolations logs each violated invariant.
+// ReportViolations makes the logger report each violated invariant.
 func ReportViolations(logger zerolog.Logger) {
 	logger = Part(logger, "invariant")
 	invariant.SetHandler(func(name invariant.Name, message string, values map[string]any) {
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -20,10 +20,10 @@
 	RunSpecs(t, "logging")
 }
 
-// testTimeout bounds waits for the goroutine that writes lines.
+// testTimeout is the timeout for the goroutine that writes lines.
 const testTimeout = 10 * time.Second
 
-// blockedWriter holds every write until it is opened.
+// blockedWriter blocks every write until unblocked is closed, like a log that nobody reads.
 type blockedWriter struct {
 	unblocked chan struct{}
 	mu        sync.Mutex
@@ -44,8 +44,8 @@
 }
 
 var _ = Describe("NewNonBlockingOutput", func() {
-	// Guards against a process whose last lines are lost, among them the one that says that it stopped.
-	It("writes the lines that wait before it is closed", func() {
+	// Guards against the loss of the last lines of a process, which include the one that says that it stopped.
+	It("writes the queued lines when it is closed", func() {
 		var lines bytes.Buffer
 		output := logging.NewNonBlockingOutput(&lines)
 		for i := range 1000 {
@@ -56,8 +56,8 @@
 		Expect(lines.String()).To(HaveSuffix("line 999\n"))
 	})
 
-	// Guards against a process that cannot end, and against requests that wait, because nobody reads its log.
-	It("neither waits for a reader that has stopped nor hides how many lines it dropped", func() {
+	// Guards against a process that cannot stop, and against requests that wait, because nobody reads its log.
+	It("does not wait for a blocked reader and reports that lines were dropped", func() {
 		writer := &blockedWriter{unblocked: make(chan struct{})}
 		output := logging.NewNonBlockingOutput(writer)
 		written := make(chan struct{})
