--- a/settings/check.go
+++ b/settings/check.go
@@ -50,8 +50,8 @@
 type checker struct {
 	file     string
 	problems Problems
-	// faulty lists the fields that could not be decoded; their zero values are not reported again.
-	faulty []string
+	// undecoded lists the fields that could not be decoded; their zero values are not reported again.
+	undecoded []string
 }
 
 func (c *checker) err() error {
@@ -62,7 +62,7 @@
 }
 
 func (c *checker) add(field, value, allowed string) {
-	for _, path := range c.faulty {
+	for _, path := range c.undecoded {
 		if path == field || strings.HasPrefix(path, field+".") || strings.HasPrefix(field, path+".") {
 			return
 		}
@@ -73,27 +73,27 @@
 func (c *checker) node(n Node) {
 	c.name("instance", n.Instance)
 	c.name("zone", n.Zone)
-	c.address("callers", n.Callers)
-	c.address("mesh", n.Mesh)
-	c.address("admin", n.Admin)
-	c.reachable("advertise", n.Advertise)
+	c.listenAddress("callers", n.Callers)
+	c.listenAddress("mesh", n.Mesh)
+	c.listenAddress("admin", n.Admin)
+	c.dialAddress("advertise", n.Advertise)
 	c.distinct(map[string]string{"callers": n.Callers, "mesh": n.Mesh, "admin": n.Admin})
 	if len(n.Join) == 0 {
 		c.add("join", "no address", "at least one mesh address of a control member or node")
 	}
-	c.joins(n.Join)
+	c.joinAddresses(n.Join)
 	c.between("join_port", int64(n.JoinPort), 0, maxPort)
 	c.tls(n.TLS)
 	c.operators(n.Keyring, n.TrustedOperators)
 	c.nodePlatform(n.Platform)
-	c.delays(n.ZoneDelays)
-	c.during("other_zone_delay", n.OtherZoneDelay, 0, maxZoneDelay)
+	c.zoneDelays(n.ZoneDelays)
+	c.durationBetween("other_zone_delay", n.OtherZoneDelay, 0, maxZoneDelay)
 	c.upstream(n.Upstream)
 	c.between("limits.max_calls", int64(n.Limits.MaxCalls), 1, maxCalls)
 	c.between("limits.max_header_bytes", int64(n.Limits.MaxHeaderBytes), minHeaderBytes, maxHeaderBytes)
 	c.between("limits.max_body_bytes", n.Limits.MaxBodyBytes, 1, maxBodyBytes)
-	c.during("limits.drain_timeout", n.Limits.DrainTimeout, time.Second, maxDrainTimeout)
-	c.during("limits.leave_notice", n.Limits.LeaveNotice, 0, n.Limits.DrainTimeout.Std())
+	c.durationBetween("limits.drain_timeout", n.Limits.DrainTimeout, time.Second, maxDrainTimeout)
+	c.durationBetween("limits.leave_notice", n.Limits.LeaveNotice, 0, n.Limits.DrainTimeout.Std())
 }
 
 func (c *checker) nodePlatform(p *NodePlatform) {
@@ -101,16 +101,16 @@
 		return
 	}
 	c.name("platform.service", p.Service)
-	c.reachable("platform.upstream", p.Upstream)
-	c.address("platform.announcements", p.Announcements)
-	c.address("platform.ready", p.Ready)
+	c.dialAddress("platform.upstream", p.Upstream)
+	c.listenAddress("platform.announcements", p.Announcements)
+	c.listenAddress("platform.ready", p.Ready)
 }
 
 func (c *checker) controlPlatform(p *ControlPlatform) {
 	if p == nil {
 		return
 	}
-	c.address("platform.operators", p.Operators)
+	c.listenAddress("platform.operators", p.Operators)
 	c.between("platform.tolerated_instances", int64(p.ToleratedInstances), 0, maxTolerated)
 	c.between("platform.tolerated_zones", int64(p.ToleratedZones), 0, maxTolerated)
 }
@@ -130,11 +130,11 @@
 		return
 	}
 	c.name("upstream.service", u.Service)
-	c.reachable("upstream.address", u.Address)
+	c.dialAddress("upstream.address", u.Address)
 	c.between("upstream.slots", int64(u.Slots), 1, maxSlots)
 	c.between("upstream.connections", int64(u.Connections), 1, maxConnections)
 	c.urlPath("upstream.health_path", u.HealthPath)
-	c.during("upstream.health_interval", u.HealthInterval, minHealthInterval, maxHealthInterval)
+	c.durationBetween("upstream.health_interval", u.HealthInterval, minHealthInterval, maxHealthInterval)
 	if u.LoadPath != "" {
 		c.urlPath("upstream.load_path", u.LoadPath)
 	}
@@ -143,10 +143,10 @@
 func (c *checker) control(s Control) {
 	c.name("instance", s.Instance)
 	c.name("zone", s.Zone)
-	c.address("mesh", s.Mesh)
-	c.address("admin", s.Admin)
-	c.reachable("advertise", s.Advertise)
-	c.reachable("advertise_admin", s.AdvertiseAdmin)
+	c.listenAddress("mesh", s.Mesh)
+	c.listenAddress("admin", s.Admin)
+	c.dialAddress("advertise", s.Advertise)
+	c.dialAddress("advertise_admin", s.AdvertiseAdmin)
 	c.distinct(map[string]string{"mesh": s.Mesh, "admin": s.Admin})
 	c.path("data_folder", s.DataFolder)
 	c.tls(s.TLS)
@@ -154,10 +154,10 @@
 	c.controlPlatform(s.Platform)
 	c.between("join_port", int64(s.JoinPort), 0, maxPort)
 	c.peers(s)
-	c.joins(s.Join)
+	c.joinAddresses(s.Join)
 	l := s.Limits
-	c.during("limits.election_timeout", l.ElectionTimeout, minElectionTimeout, maxElectionTimeout)
-	c.during("limits.heartbeat_interval", l.HeartbeatInterval, minHeartbeatInterval,
+	c.durationBetween("limits.election_timeout", l.ElectionTimeout, minElectionTimeout, maxElectionTimeout)
+	c.durationBetween("limits.heartbeat_interval", l.HeartbeatInterval, minHeartbeatInterval,
 		max(minHeartbeatInterval, l.ElectionTimeout.Std()/heartbeatsPerElection))
 	c.between("limits.max_append_bytes", int64(l.MaxAppendBytes), minAppendBytes, maxAppendBytes)
 	c.between("limits.snapshot_entries", int64(l.SnapshotEntries), minSnapshotEntries, maxSnapshotEntries)
@@ -179,8 +179,8 @@
 	var addresses []string
 	for i, peer := range s.Peers {
 		field := fmt.Sprintf("peers[%d]", i)
-		c.reachable(field+".address", peer.Address)
-		c.reachable(field+".admin", peer.Admin)
+		c.dialAddress(field+".address", peer.Address)
+		c.dialAddress(field+".admin", peer.Admin)
 		c.name(field+".zone", peer.Zone)
 		if slices.Contains(addresses, peer.Address) {
 			c.add(field+".address", strictjson.Quote(peer.Address), "each address once")
@@ -201,8 +201,8 @@
 	}
 }
 
-// address checks a listen address; its host may be empty, which means all interfaces, and its port may be 0.
-func (c *checker) address(field, value string) {
+// listenAddress checks a listen listenAddress; its host may be empty, which means all interfaces, and its port may be 0.
+func (c *checker) listenAddress(field, value string) {
 	host, port, err := net.SplitHostPort(value)
 	number, portErr := strconv.ParseUint(port, 10, 16)
 	if err != nil || portErr != nil || (host != "" && net.ParseIP(host) == nil) || strconv.FormatUint(number, 10) != port {
@@ -210,8 +210,8 @@
 	}
 }
 
-// reachable checks an address that others dial.
-func (c *checker) reachable(field, value string) {
+// dialAddress checks an address that others dial.
+func (c *checker) dialAddress(field, value string) {
 	host, port, err := net.SplitHostPort(value)
 	number, portErr := strconv.ParseUint(port, 10, 16)
 	ip := net.ParseIP(host)
@@ -220,9 +220,9 @@
 	}
 }
 
-func (c *checker) joins(addresses []string) {
+func (c *checker) joinAddresses(addresses []string) {
 	for i, address := range addresses {
-		c.reachable(fmt.Sprintf("join[%d]", i), address)
+		c.dialAddress(fmt.Sprintf("join[%d]", i), address)
 	}
 }
 
@@ -267,9 +267,9 @@
 	}
 }
 
-func (c *checker) delays(delays map[string]Duration) {
+func (c *checker) zoneDelays(delays map[string]Duration) {
 	for _, zone := range slices.Sorted(maps.Keys(delays)) {
-		c.during("zone_delays."+zone, delays[zone], 0, maxZoneDelay)
+		c.durationBetween("zone_delays."+zone, delays[zone], 0, maxZoneDelay)
 	}
 }
 
@@ -279,7 +279,7 @@
 	}
 }
 
-func (c *checker) during(field string, value Duration, low, high time.Duration) {
+func (c *checker) durationBetween(field string, value Duration, low, high time.Duration) {
 	if value.Std() < low || value.Std() > high {
 		c.add(field, strictjson.Quote(value.Std().String()), fmt.Sprintf("%s to %s", low, high))
 	}
--- a/settings/load.go
+++ b/settings/load.go
@@ -179,7 +179,7 @@
 func (c *checker) decode(data []byte, into any) map[string]bool {
 	for _, fault := range strictjson.Decode(data, into) {
 		c.problems = append(c.problems, Problem{File: c.file, Field: fault.Path, Value: fault.Value, Allowed: fault.Allowed})
-		c.faulty = append(c.faulty, fault.Path)
+		c.undecoded = append(c.undecoded, fault.Path)
 	}
 	return strictjson.Keys(data)
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -43,7 +43,7 @@
 	return string(data), blocks[0][1], blocks[1][1]
 }
 
-func lines(err error) []string {
+func problemLines(err error) []string {
 	GinkgoHelper()
 	Expect(err).To(BeAssignableToTypeOf(settings.Problems{}))
 	return strings.Split(err.Error(), "\n")[1:]
@@ -91,7 +91,7 @@
 			"admin":":7000","join":["h:1"],"tls":{"insecure":true,"ca":"x"},"keyring":"k","listen":1,
 			"upstream":{"service":"s","address":"127.0.0.1:1","slots":0,"health_interval":"fast"},
 			"limits":{"drain_timeout":5}}`))
-		Expect(lines(err)).To(Equal([]string{
+		Expect(problemLines(err)).To(Equal([]string{
 			`n.json: listen: got unknown field, allowed: one of instance, zone, callers, mesh, admin, advertise, join, ` +
 				`join_port, tls, keyring, trusted_operators, platform, upstream, zone_delays, other_zone_delay, limits`,
 			`n.json: upstream.health_interval: got "fast", allowed: a duration such as "250ms" or "3s"`,
@@ -111,7 +111,7 @@
 			_, _, text := examples()
 			Expect(text).To(ContainSubstring(old))
 			_, err := settings.ParseControl("c.json", []byte(strings.Replace(text, old, changed, 1)))
-			Expect(lines(err)).To(ContainElement(HavePrefix("c.json: " + want)))
+			Expect(problemLines(err)).To(ContainElement(HavePrefix("c.json: " + want)))
 		},
 		Entry("a heartbeat that one lost message turns into an election", `"zone"`,
 			`"limits":{"election_timeout":"200ms","heartbeat_interval":"150ms"},"zone"`, "limits.heartbeat_interval"),
@@ -130,20 +130,20 @@
 	})
 })
 
-// identity is a certificate with its key and their files.
-type identity struct {
+// issuedCertificate is a certificate with its key and their files.
+type issuedCertificate struct {
 	certificate *x509.Certificate
 	key         ed25519.PrivateKey
 	tls         settings.TLS
 }
 
-// issue writes a certificate for 127.0.0.1 that the issuer signs; without an issuer, it signs itself.
-func issue(folder, name string, issuer *identity) *identity {
+// issueCertificate writes a certificate for 127.0.0.1 that the issuer signs; without an issuer, it signs itself.
+func issueCertificate(folder, name string, issuer *issuedCertificate) *issuedCertificate {
 	public, key, err := ed25519.GenerateKey(nil)
 	Expect(err).NotTo(HaveOccurred())
 	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, IsCA: issuer == nil,
 		BasicConstraintsValid: true, NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}}
-	own := &identity{certificate: template, key: key, tls: settings.TLS{
+	own := &issuedCertificate{certificate: template, key: key, tls: settings.TLS{
 		Certificate: filepath.Join(folder, name+".pem"), Key: filepath.Join(folder, name+".key")}}
 	if issuer == nil {
 		issuer = own
@@ -163,12 +163,12 @@
 var _ = Describe("TLS", func() {
 	It("connects both sides, serves a renewed certificate without a restart and refuses strangers", func() {
 		folder := GinkgoT().TempDir()
-		ca, other := issue(folder, "ca", nil), issue(folder, "other", nil)
-		trusting := func(own *identity) settings.TLS {
+		ca, other := issueCertificate(folder, "ca", nil), issueCertificate(folder, "other", nil)
+		trusting := func(own *issuedCertificate) settings.TLS {
 			own.tls.CA = ca.tls.Certificate
 			return own.tls
 		}
-		serverTLS, err := trusting(issue(folder, "server", ca)).ServerConfig()
+		serverTLS, err := trusting(issueCertificate(folder, "server", ca)).ServerConfig()
 		Expect(err).NotTo(HaveOccurred())
 		server := httptest.NewUnstartedServer(http.NotFoundHandler())
 		server.Config.ErrorLog = log.New(io.Discard, "", 0)
@@ -176,8 +176,8 @@
 		server.Listener = tls.NewListener(server.Listener, serverTLS)
 		server.Start()
 		DeferCleanup(server.Close)
-		get := func(name string, issuer *identity) ([]byte, error) {
-			config, err := trusting(issue(folder, name, issuer)).ClientConfig()
+		get := func(name string, issuer *issuedCertificate) ([]byte, error) {
+			config, err := trusting(issueCertificate(folder, name, issuer)).ClientConfig()
 			Expect(err).NotTo(HaveOccurred())
 			client := http.Client{Transport: &http.Transport{TLSClientConfig: config}}
 			defer client.CloseIdleConnections()
@@ -190,7 +190,7 @@
 		}
 		first, err := get("client", ca)
 		Expect(err).NotTo(HaveOccurred())
-		issue(folder, "server", ca)
+		issueCertificate(folder, "server", ca)
 		second, err := get("client", ca)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(second).NotTo(Equal(first))
