--- a/logging/logging.go
+++ b/logging/logging.go
@@ -42,8 +42,8 @@
 const (
 	// maxQueuedLines bounds the lines that wait for a slow reader of the log. Further lines are dropped.
 	maxQueuedLines = 4096
-	// flushTimeout bounds the end of a process whose log nobody reads. A reader that keeps up needs a few milliseconds for
-	// queueLength lines.
+	// flushTimeout bounds how long Close waits for a reader of the log that has stopped reading. A working reader needs a
+	// few milliseconds for maxQueuedLines lines.
 	flushTimeout = 500 * time.Millisecond
 )
 
@@ -55,8 +55,8 @@
 	queue diode.Writer
 }
 
-// NewNonBlockingOutput returns an output that never makes a request wait for the reader of the log: lines beyond
-// queueLength are dropped, and a line says how many.
+// NewNonBlockingOutput returns an output whose Write never blocks, so that no request waits for the reader of the log.
+// Lines beyond maxQueuedLines are dropped, and a log line reports how many.
 func NewNonBlockingOutput(out io.Writer) *Output {
 	// The struct hides any Close method of out, because the queue would call it.
 	writer := struct{ io.Writer }{out}
--- a/settings/check.go
+++ b/settings/check.go
@@ -26,7 +26,7 @@
 	maxHealthInterval = time.Minute
 	maxZoneDelay      = time.Second
 	maxPort           = 65535
-	// maxTolerated keeps the group within 19 members.
+	// maxTolerated bounds the failures to tolerate, so that a group has at most 19 members.
 	maxTolerated = 9
 
 	minElectionTimeout   = 100 * time.Millisecond
@@ -41,7 +41,7 @@
 	maxJoinsPerSecond    = 10_000
 	minLedgerBytes       = 16 << 20
 	maxLedgerBytes       = 64 << 30
-	// heartbeatsPerElection is the least number of heartbeats in an election timeout; fewer would let one lost message
+	// heartbeatsPerElection is the least number of heartbeats per election timeout. With fewer, one lost message could
 	// start an election.
 	heartbeatsPerElection = 3
 )
@@ -50,7 +50,7 @@
 type checker struct {
 	file     string
 	problems Problems
-	// undecoded lists the fields that could not be decoded; their zero values are not reported again.
+	// undecoded lists the fields that could not be decoded. Their values are not checked further.
 	undecoded []string
 }
 
@@ -115,7 +115,7 @@
 	c.between("platform.tolerated_zones", int64(p.ToleratedZones), 0, maxTolerated)
 }
 
-// operators checks that somebody can approve versions.
+// operators checks that there is a keyring or a trusted operator, because nobody could approve versions otherwise.
 func (c *checker) operators(keyring string, trusted []string) {
 	for i, operator := range trusted {
 		c.name(fmt.Sprintf("trusted_operators[%d]", i), operator)
@@ -167,8 +167,8 @@
 	c.between("limits.max_ledger_bytes", int64(l.MaxLedgerBytes), minLedgerBytes, maxLedgerBytes)
 }
 
-// peers checks the members of the first start. The own address must be among them, so that all members start with the
-// same membership.
+// peers checks the members of the first start. The address of this process must be among them, so that all members
+// start with the same membership.
 func (c *checker) peers(s Control) {
 	if len(s.Peers) == 0 && len(s.Join) == 0 && s.Platform == nil {
 		c.add("peers", "no member", "the members of the first start, or join addresses of a running group")
@@ -201,7 +201,8 @@
 	}
 }
 
-// listenAddress checks a listen listenAddress; its host may be empty, which means all interfaces, and its port may be 0.
+// listenAddress checks an address to listen on; its host may be empty, which means all interfaces, and its port may be
+// 0.
 func (c *checker) listenAddress(field, value string) {
 	host, port, err := net.SplitHostPort(value)
 	number, portErr := strconv.ParseUint(port, 10, 16)
@@ -210,7 +211,7 @@
 	}
 }
 
-// dialAddress checks an address that others dial.
+// dialAddress checks an address that other processes dial.
 func (c *checker) dialAddress(field, value string) {
 	host, port, err := net.SplitHostPort(value)
 	number, portErr := strconv.ParseUint(port, 10, 16)
--- a/settings/load.go
+++ b/settings/load.go
@@ -17,7 +17,7 @@
 // maxFileBytes bounds a settings file.
 const maxFileBytes = 1 << 20
 
-// Problem is one fault in a settings file.
+// Problem describes one invalid value in a settings file and what is allowed instead.
 type Problem struct {
 	File    string `json:"file,omitempty"`
 	Field   string `json:"field"`
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("%s: %s: got %s, allowed: %s", p.File, p.Field, p.Value, p.Allowed)
 }
 
-// Problems lists all faults of a settings file.
+// Problems lists all problems of a settings file. It is an error.
 type Problems []Problem
 
 // Error formats one problem per line.
@@ -95,7 +95,7 @@
 	}}
 }
 
-// LoadNode reads the settings of a node. The error is of type Problems when the content is at fault.
+// LoadNode reads the settings of a node. The error is of type Problems if the file was read but its content is invalid.
 func LoadNode(file string) (Node, error) {
 	data, err := readFile(file)
 	if err != nil {
@@ -104,7 +104,8 @@
 	return ParseNode(file, data)
 }
 
-// LoadControl reads the settings of a control process. The error is of type Problems when the content is at fault.
+// LoadControl reads the settings of a control process. The error is of type Problems if the file was read but its
+// content is invalid.
 func LoadControl(file string) (Control, error) {
 	data, err := readFile(file)
 	if err != nil {
@@ -160,7 +161,7 @@
 	return control, c.err()
 }
 
-// withPort replaces the ports of addresses; 0 keeps them.
+// withPort returns the addresses with their ports replaced by port. A port of 0 keeps them.
 func withPort(addresses []string, port int) []string {
 	if port == 0 {
 		return addresses
@@ -175,7 +176,7 @@
 	return replaced
 }
 
-// decode decodes the file, records its faults and returns the top-level fields that it holds.
+// decode decodes the data, records the problems and returns the set of top-level fields that are present.
 func (c *checker) decode(data []byte, into any) map[string]bool {
 	for _, fault := range strictjson.Decode(data, into) {
 		c.problems = append(c.problems, Problem{File: c.file, Field: fault.Path, Value: fault.Value, Allowed: fault.Allowed})
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -11,11 +11,11 @@
 	Slots int `json:"slots"`
 	// Connections bounds the connections to the upstream.
 	Connections int `json:"connections"`
-	// HealthPath is requested to detect that the upstream is up.
+	// HealthPath is the path that is requested to check whether the upstream is up.
 	HealthPath string `json:"health_path"`
 	// HealthInterval is the time between health requests.
 	HealthInterval Duration `json:"health_interval"`
-	// LoadPath is requested for load reports; empty if the upstream has none.
+	// LoadPath is the path that is requested for load reports; it is empty if the upstream has none.
 	LoadPath string `json:"load_path,omitempty"`
 }
 
@@ -25,17 +25,17 @@
 	MaxHeaderBytes int      `json:"max_header_bytes"`
 	MaxBodyBytes   int64    `json:"max_body_bytes"`
 	DrainTimeout   Duration `json:"drain_timeout"`
-	// LeaveNotice is the time for which a stopping node still takes requests after it has said that it is not ready.
+	// LeaveNotice is the time for which a stopping node still accepts requests after it has reported that it is not ready.
 	LeaveNotice Duration `json:"leave_notice,omitempty"`
 }
 
 // Node is the settings of a node process.
 type Node struct {
-	// Instance identifies the machine and stays the same across restarts.
+	// Instance is the name of the instance. It stays the same across restarts.
 	Instance string `json:"instance"`
 	// Zone is the availability zone.
 	Zone string `json:"zone"`
-	// Callers is the listen address for HTTP calls.
+	// Callers is the listen address for HTTP requests of callers.
 	Callers string `json:"callers"`
 	// Mesh is the listen address for gRPC between processes.
 	Mesh string `json:"mesh"`
@@ -55,7 +55,7 @@
 	TrustedOperators []string `json:"trusted_operators,omitempty"`
 	// Platform is set where another system runs the instances, the upstreams and the operators.
 	Platform *NodePlatform `json:"platform,omitempty"`
-	// Upstream is nil for a node that only takes calls in.
+	// Upstream is nil for a node without an upstream, which only forwards calls to other nodes.
 	Upstream *Upstream `json:"upstream,omitempty"`
 	// ZoneDelays holds the one-way delay to other availability zones.
 	ZoneDelays map[string]Duration `json:"zone_delays,omitempty"`
@@ -64,37 +64,38 @@
 	Limits         NodeLimits `json:"limits"`
 }
 
-// NodePlatform holds what a node needs on a platform that announces upstreams and asks for readiness in its own words.
+// NodePlatform holds the settings of a node on a platform that has protocols of its own for the announcement of
+// upstreams and for readiness checks.
 type NodePlatform struct {
-	// Service is what runs beside the node until an upstream announces itself.
+	// Service is the service that runs beside the node; it applies until an upstream announces itself.
 	Service string `json:"service"`
 	// Upstream is the address of the only upstream that may announce itself.
 	Upstream string `json:"upstream"`
 	// Announcements is the listen address for announcements of the upstream.
 	Announcements string `json:"announcements"`
-	// Ready is the listen address for questions whether the node is ready.
+	// Ready is the listen address for readiness checks of the node.
 	Ready string `json:"ready"`
 }
 
-// ControlPlatform holds what a control member needs on a platform with operators of its own.
+// ControlPlatform holds the settings of a control member on a platform that has an operator protocol of its own.
 type ControlPlatform struct {
 	// Operators is the listen address for the platform's operators.
 	Operators string `json:"operators"`
-	// FirstStart says that the group does not exist yet: the processes that Join names form it.
+	// FirstStart is set if the group does not exist yet; the processes that Join names then form it.
 	FirstStart bool `json:"first_start,omitempty"`
-	// ToleratedInstances and ToleratedZones are how many may be lost at once.
+	// ToleratedInstances and ToleratedZones are the numbers of instances and zones that may fail at the same time.
 	ToleratedInstances int `json:"tolerated_instances"`
 	ToleratedZones     int `json:"tolerated_zones"`
 }
 
-// Peer is a control member of the first start.
+// Peer is a member of the control group at its first start.
 type Peer struct {
 	// Address is the member's mesh address.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	// Admin is the address of the member's operator API.
 	Admin string `json:"admin"`
-	// Learner marks a member that replicates without a vote.
+	// Learner is set for a member that replicates the logs but does not vote.
 	Learner bool `json:"learner,omitempty"`
 }
 
@@ -125,8 +126,8 @@
 	// DataFolder holds the log and the snapshots.
 	DataFolder string `json:"data_folder"`
 	TLS        TLS    `json:"tls"`
-	// Keyring is the file with the operators' public keys. It must be the same on all members. It may be empty if there are
-	// trusted operators.
+	// Keyring is the file with the operators' public keys. It must be the same on all members. It may be empty if there
+	// are trusted operators.
 	Keyring string `json:"keyring,omitempty"`
 	// TrustedOperators are accepted without a signature.
 	TrustedOperators []string `json:"trusted_operators,omitempty"`
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -66,7 +66,7 @@
 		Expect(settings.ParseControl("again.json", again)).To(Equal(control))
 	})
 
-	It("documents every field, so that the reference page does not fall behind", func() {
+	It("finds every field on the reference page", func() {
 		page, _, _ := examples()
 		var visit func(t reflect.Type)
 		visit = func(t reflect.Type) {
@@ -106,14 +106,14 @@
 		}))
 	})
 
-	DescribeTable("refuses control settings that cannot work",
+	DescribeTable("refuses invalid control settings",
 		func(old, changed, want string) {
 			_, _, text := examples()
 			Expect(text).To(ContainSubstring(old))
 			_, err := settings.ParseControl("c.json", []byte(strings.Replace(text, old, changed, 1)))
 			Expect(problemLines(err)).To(ContainElement(HavePrefix("c.json: " + want)))
 		},
-		Entry("a heartbeat that one lost message turns into an election", `"zone"`,
+		Entry("a heartbeat interval so long that one lost message could start an election", `"zone"`,
 			`"limits":{"election_timeout":"200ms","heartbeat_interval":"150ms"},"zone"`, "limits.heartbeat_interval"),
 		Entry("a first membership without the member itself", `"address": "10.1.0.2:7000"`,
 			`"address": "10.1.0.9:7000"`, "peers: "),
--- a/settings/tls.go
+++ b/settings/tls.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrTLS reports TLS files that cannot be used.
+// ErrTLS means that a TLS file cannot be read or used.
 var ErrTLS = errors.New("settings: unusable TLS files")
 
 // TLS names the files that secure connections between processes and with operators.
@@ -22,7 +22,7 @@
 	Insecure bool `json:"insecure,omitempty"`
 }
 
-// ServerConfig returns the configuration of a server that demands client certificates, or nil if TLS is off. The
+// ServerConfig returns the configuration of a server that requires client certificates, or nil if TLS is off. The
 // certificate is read again for each connection, so that a renewed file needs no restart.
 func (t TLS) ServerConfig() (*tls.Config, error) {
 	pool, err := t.load()
@@ -54,7 +54,8 @@
 	}, nil
 }
 
-// load reads all files once, so that a faulty one is found at the start. It returns nil if TLS is off.
+// load reads all files, so that an unusable one is found at the start, and returns the pool of CA certificates. It
+// returns nil if TLS is off.
 func (t TLS) load() (*x509.CertPool, error) {
 	if t.Insecure {
 		return nil, nil
