--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,6 @@
-// Package clock reads a clock that also counts the time for which the machine was suspended. Go's monotonic clock stands
-// still meanwhile, so that a process that wakes would take leases, confirmations and silences for young ones.
+// Package clock reads a clock that also counts the time for which the instance was suspended. The monotonic clock of
+// Go does not advance during a suspension: a resumed process would take expired leases, old confirmations and long
+// silences for recent ones.
 package clock
 
 import (
@@ -8,20 +9,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// start is the common origin of both clocks.
-var start, startBoot = time.Now(), bootTime()
+// startTime is the common origin of both clocks.
+var startTime, startBootTime = time.Now(), bootTime()
 
-// Now returns the time since the start of the process, suspensions included, as an instant. Where the system has no such
-// clock it is that of time.Now.
+// Now returns the current time. Differences between two results include suspensions. If the operating system has no
+// such clock, Now returns time.Now().
 func Now() time.Time {
-	elapsed := bootTime() - startBoot
-	if startBoot == 0 || elapsed < 0 {
+	elapsed := bootTime() - startBootTime
+	if startBootTime == 0 || elapsed < 0 {
 		return time.Now()
 	}
-	return start.Add(elapsed)
+	return startTime.Add(elapsed)
 }
 
-// bootTime returns the time since the machine started, or 0 if that cannot be read.
+// bootTime returns the time since the instance booted, suspensions included, or 0 if it cannot be read.
 func bootTime() time.Duration {
 	var now unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) != nil {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,7 +7,7 @@
 	"sapphiregate.example/sapphiregate/internal/clock"
 )
 
-// Guards against an origin that differs between the two clocks: ages would start with that difference.
+// Guards against different origins of the two clocks: every age would be wrong by their difference.
 func TestNowFollowsTheMonotonicClock(t *testing.T) {
 	const tolerance = 50 * time.Millisecond
 	if difference := time.Until(clock.Now()).Abs(); difference > tolerance {
--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Set fixes the seed of pgregory.net/rapid and keeps it from writing failure files into the tree. A seed given on the
-// command line is kept.
+// Set fixes the seed of pgregory.net/rapid and keeps it from writing failure files into the repository. Flags that are
+// given on the command line stay as they are.
 func Set(t *testing.T) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -16,7 +16,7 @@
 // maxValueLength bounds the text of a value in a problem.
 const maxValueLength = 120
 
-// Problem is one fault.
+// Problem describes one fault: its path in the document, the value and what is allowed instead.
 type Problem struct {
 	Path    string
 	Value   string
@@ -28,14 +28,14 @@
 	DescribeText() string
 }
 
-// Decode decodes data into the value that into points to. Fields that data lacks keep their values. It returns all
-// faults in the order of their position.
+// Decode decodes data into the value that into points to. Fields that are absent from data keep their values. It
+// returns all faults in the order of their position.
 func Decode(data []byte, into any) []Problem {
 	if !utf8.Valid(data) {
 		return []Problem{{Path: "(file)", Value: "invalid UTF-8", Allowed: "JSON in UTF-8"}}
 	}
-	var any json.RawMessage
-	if err := json.Unmarshal(data, &any); err != nil {
+	var raw json.RawMessage
+	if err := json.Unmarshal(data, &raw); err != nil {
 		return []Problem{{Path: position(data, err), Value: err.Error(), Allowed: "valid JSON"}}
 	}
 	d := &decoder{}
@@ -169,7 +169,7 @@
 	}
 	text, ok := value.(string)
 	if !ok || into.UnmarshalText([]byte(text)) != nil {
-		d.add(path, show(value), allowed)
+		d.add(path, describeValue(value), allowed)
 	}
 }
 
@@ -183,7 +183,7 @@
 func (d *decoder) assignStruct(path string, value node, target reflect.Value) {
 	members, ok := value.(object)
 	if !ok {
-		d.add(path, show(value), "an object")
+		d.add(path, describeValue(value), "an object")
 		return
 	}
 	fields, names := fieldsOf(target.Type())
@@ -200,7 +200,7 @@
 func (d *decoder) assignSlice(path string, value node, target reflect.Value) {
 	items, ok := value.([]node)
 	if !ok {
-		d.add(path, show(value), "a list")
+		d.add(path, describeValue(value), "a list")
 		return
 	}
 	list := reflect.MakeSlice(target.Type(), len(items), len(items))
@@ -213,7 +213,7 @@
 func (d *decoder) assignMap(path string, value node, target reflect.Value) {
 	members, ok := value.(object)
 	if !ok {
-		d.add(path, show(value), "an object")
+		d.add(path, describeValue(value), "an object")
 		return
 	}
 	result := reflect.MakeMapWithSize(target.Type(), len(members))
@@ -228,7 +228,7 @@
 func (d *decoder) assignString(path string, value node, target reflect.Value) {
 	text, ok := value.(string)
 	if !ok {
-		d.add(path, show(value), "a string")
+		d.add(path, describeValue(value), "a string")
 		return
 	}
 	target.SetString(text)
@@ -237,7 +237,7 @@
 func (d *decoder) assignBool(path string, value node, target reflect.Value) {
 	flag, ok := value.(bool)
 	if !ok {
-		d.add(path, show(value), "true or false")
+		d.add(path, describeValue(value), "true or false")
 		return
 	}
 	target.SetBool(flag)
@@ -247,7 +247,7 @@
 	number, ok := value.(json.Number)
 	parsed, err := strconv.ParseInt(string(number), 10, 64)
 	if !ok || err != nil || target.OverflowInt(parsed) {
-		d.add(path, show(value), "an integer of 64 bits")
+		d.add(path, describeValue(value), "an integer of 64 bits")
 		return
 	}
 	target.SetInt(parsed)
@@ -257,7 +257,7 @@
 	number, ok := value.(json.Number)
 	parsed, err := strconv.ParseUint(string(number), 10, 64)
 	if !ok || err != nil {
-		d.add(path, show(value), "an unsigned integer of 64 bits")
+		d.add(path, describeValue(value), "an unsigned integer of 64 bits")
 		return
 	}
 	target.SetUint(parsed)
@@ -287,8 +287,8 @@
 
 func index(path string, i int) string { return fmt.Sprintf("%s[%d]", path, i) }
 
-// show returns a short form of a value for error messages.
-func show(value node) string {
+// describeValue returns a short form of a value for error messages.
+func describeValue(value node) string {
 	switch v := value.(type) {
 	case nil:
 		return "null"
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -30,7 +30,7 @@
 }
 
 var _ = Describe("Decode", func() {
-	DescribeTable("reports what encoding/json lets pass or stops at",
+	DescribeTable("reports all faults, including those that encoding/json accepts",
 		func(text string, want ...strictjson.Problem) {
 			Expect(strictjson.Decode([]byte(text), &outer{})).To(Equal(want))
 		},
@@ -57,7 +57,7 @@
 			strictjson.Problem{Path: "(file)", Value: "invalid UTF-8", Allowed: "JSON in UTF-8"}),
 	)
 
-	It("decodes what is right and keeps the defaults of absent fields", func() {
+	It("decodes valid JSON and keeps the values of absent fields", func() {
 		value := outer{Name: "default", Ptr: &inner{Big: 7}}
 		Expect(strictjson.Decode([]byte(`{"list":[{"flag":true}],"ptr":{"flag":true}}`), &value)).To(BeEmpty())
 		Expect(value).To(Equal(outer{Name: "default", List: []inner{{Flag: true}}, Ptr: &inner{Flag: true, Big: 7}}))
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry holds what the metrics of all processes share: the registry, the latency buckets and the handler that
-// serves them as text to a scraper.
+// Package telemetry holds what the metrics of all processes share: the registry, the latency buckets and the handler
+// that serves them as text to a scraper.
 package telemetry
 
 import (
@@ -12,11 +12,11 @@
 	"sapphiregate.example/sapphiregate/invariant"
 )
 
-// Namespace is the prefix of all names of metrics.
+// Namespace is the prefix of all metric names.
 const Namespace = "sapphiregate"
 
-// LatencyBuckets are upper bounds in seconds. They double from the target of 0.91 ms that the design sets for added
-// latency to the longest route deadlines.
+// LatencyBuckets are the upper bounds of histogram buckets, in seconds. They double from about the target for added
+// latency, 0.91 ms, to the longest route deadlines.
 var LatencyBuckets = prometheus.ExponentialBuckets(0.0009, 2, 15)
 
 // Registry holds the metrics of one process.
@@ -24,7 +24,7 @@
 	*prometheus.Registry
 }
 
-// NewRegistry returns a registry with the figures of the Go runtime, the process and the violated invariants.
+// NewRegistry returns a registry with the metrics of the Go runtime, the process and the violated invariants.
 func NewRegistry() *Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -33,7 +33,7 @@
 	return &Registry{Registry: registry}
 }
 
-// Handler serves the metrics.
+// Handler returns the HTTP handler that serves the metrics to a scraper.
 func (r *Registry) Handler() http.Handler {
 	return promhttp.HandlerFor(r.Registry, promhttp.HandlerOpts{})
 }
