--- a/coordination/relay/join.go
+++ b/coordination/relay/join.go
@@ -77,9 +77,9 @@
 	return true
 }
 
-// redirectAddresses reports whether the joiner has to follow another peer, and returns addresses that it may try. This
-// is so for members, for joiners of lower order than this peer, and for joiners of another zone if peers of that zone,
-// or members for a node to name, are known.
+// redirectAddresses reports whether the joiner has to follow another peer, and returns addresses that it may try. Members
+// and joiners of lower order than this peer are always redirected. A joiner of another zone is redirected by a member to
+// the members of the joiner's zone, unless it has set AnyZone, and by a node to nodes of that zone or to members.
 func (p *Peer) redirectAddresses(l *link, join Join) ([]string, bool) {
 	if l.remote.Member || !p.order.Before(l.remote.Order()) {
 		return p.addressesAbove(l.remote.Zone), true
--- a/node/crash.go
+++ b/node/crash.go
@@ -42,8 +42,8 @@
 	}
 	check := &crashCheck{done: make(chan struct{})}
 	e.crashCheck = check
-	suspects, isolated := e.suspects()
-	if !e.background.start(func() { e.runCrashCheck(check, slot.upstream, suspects, isolated) }) {
+	suspects, exclusive := e.suspects()
+	if !e.background.start(func() { e.runCrashCheck(check, slot.upstream, suspects, exclusive) }) {
 		e.crashCheck = nil
 		return nil
 	}
@@ -67,12 +67,12 @@
 
 // runCrashCheck probes the upstream and completes the check.
 func (e *executor) runCrashCheck(
-	check *crashCheck, probed *upstream, suspects []quarantine.Fingerprint, isolated bool,
+	check *crashCheck, probed *upstream, suspects []quarantine.Fingerprint, exclusive bool,
 ) {
 	accepting := probed.acceptsConnections(e.ctx)
 	if !accepting && e.ctx.Err() == nil {
 		check.crashed = true
-		e.markUpstreamDown(probed, suspects, isolated)
+		e.markUpstreamDown(probed, suspects, exclusive)
 	}
 	e.mu.Lock()
 	e.crashCheck = nil
@@ -82,9 +82,9 @@
 
 // markUpstreamDown publishes the suspects of a crash and takes the upstream out of service; monitorUpstream puts it
 // back once it accepts connections.
-func (e *executor) markUpstreamDown(failed *upstream, suspects []quarantine.Fingerprint, isolated bool) {
+func (e *executor) markUpstreamDown(failed *upstream, suspects []quarantine.Fingerprint, exclusive bool) {
 	if len(suspects) > 0 {
-		e.publish(e.quarantine.Crashed(time.Now(), suspects, isolated))
+		e.publish(e.quarantine.Crashed(time.Now(), suspects, exclusive))
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -133,9 +133,9 @@
 	}
 	if failures++; failures >= probeFailureThreshold {
 		e.mu.Lock()
-		suspects, isolated := e.suspects()
+		suspects, exclusive := e.suspects()
 		e.mu.Unlock()
-		e.markUpstreamDown(current, suspects, isolated)
+		e.markUpstreamDown(current, suspects, exclusive)
 		return 0
 	}
 	return failures
--- a/node/harness_test.go
+++ b/node/harness_test.go
@@ -175,7 +175,7 @@
 	err             error
 }
 
-func (a callResult) outcome() string { return a.header.Get(protocol.HeaderOutcome) }
+func (r callResult) outcome() string { return r.header.Get(protocol.HeaderOutcome) }
 
 func (f *fixture) send(ctx context.Context, path string, body io.Reader, header ...string) callResult {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.callers+path, body)
--- a/node/irreversible_test.go
+++ b/node/irreversible_test.go
@@ -23,11 +23,11 @@
 
 func newBlockingUpstream() *blockingUpstream { return &blockingUpstream{release: make(chan struct{})} }
 
-func (g *blockingUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (u *blockingUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
-	run := g.runs.Add(1)
+	run := u.runs.Add(1)
 	select {
-	case <-g.release:
+	case <-u.release:
 	case <-r.Context().Done():
 		return
 	}
@@ -35,9 +35,9 @@
 	fmt.Fprintf(w, "run %d", run)
 }
 
-func (g *blockingUpstream) unblock() *blockingUpstream {
-	close(g.release)
-	return g
+func (u *blockingUpstream) unblock() *blockingUpstream {
+	close(u.release)
+	return u
 }
 
 const keyHeader = protocol.HeaderIdempotencyKey
--- a/node/liveness.go
+++ b/node/liveness.go
@@ -101,7 +101,7 @@
 // fires. The caller holds l.mu.
 func (l *liveness) armTimer(i *remoteInstance) {
 	if i.timer != nil || l.stopped {
-		return // This saves most calls the cost of Next, which examines all waiting calls.
+		return // This saves most calls the cost of NextProbe, which examines all waiting calls.
 	}
 	next, ok := i.detector.NextProbe()
 	if !ok {
--- a/node/node.go
+++ b/node/node.go
@@ -302,7 +302,8 @@
 	return 0
 }
 
-// AcceptUpstream announces an upstream from the settings, for one that does not announce itself.
+// AcceptUpstream puts the upstream that the settings describe into service, for an upstream that does not announce
+// itself.
 func (n *Node) AcceptUpstream(announcement Announcement) error {
 	return n.executor.acceptAnnouncement(announcement)
 }
