--- a/coordination/relay/bundles.go
+++ b/coordination/relay/bundles.go
@@ -16,8 +16,8 @@
 var (
 	// ErrUpdateMismatch reports an update whose base or target differs from that of the Parts message that carried it.
 	ErrUpdateMismatch = errors.New("relay: base or target of the update differs from that of its message")
-	// ErrDangling reports a route that refers to a service or resource that the bundle does not contain.
-	ErrDangling = errors.New("relay: route refers to a missing service or resource")
+	// ErrDanglingReference reports a route that refers to a service or resource that the bundle does not contain.
+	ErrDanglingReference = errors.New("relay: route refers to a missing service or resource")
 	// ErrPartName reports a part whose name differs from its name in the manifest.
 	ErrPartName = errors.New("relay: name of a part differs from the manifest")
 )
@@ -340,12 +340,12 @@
 	for _, route := range b.Routes {
 		for _, share := range route.Shares() {
 			if !services[share.Service] {
-				return errors.Wrapf(ErrDangling, "route %s, service %s", route.Name, share.Service)
+				return errors.Wrapf(ErrDanglingReference, "route %s, service %s", route.Name, share.Service)
 			}
 		}
 		for _, name := range route.Resources {
 			if !resources[name] {
-				return errors.Wrapf(ErrDangling, "route %s, resource %s", route.Name, name)
+				return errors.Wrapf(ErrDanglingReference, "route %s, resource %s", route.Name, name)
 			}
 		}
 	}
--- a/coordination/relay/references_internal_test.go
+++ b/coordination/relay/references_internal_test.go
@@ -19,6 +19,6 @@
 	It("accepts a split route", func() { Expect(checkReferences(split("desk-next"))).To(Succeed()) })
 
 	It("rejects a split to a service that the bundle does not contain", func() {
-		Expect(checkReferences(split("gone"))).To(MatchError(ErrDangling))
+		Expect(checkReferences(split("gone"))).To(MatchError(ErrDanglingReference))
 	})
 })
