--- a/coordination/endpoints/table.go
+++ b/coordination/endpoints/table.go
@@ -12,7 +12,7 @@
 	// BucketCount is the number of buckets into which a table is split to compare it with another one. Only buckets with
 	// different digests are exchanged. At 16,000 records a bucket holds about 62.
 	BucketCount = 256
-	// DefaultLimit bounds the number of records of a table: 2.5 times the design scale of 16,000 workers.
+	// DefaultLimit bounds the number of records of a table: 2.5 times the design scale of 16,000 upstreams.
 	DefaultLimit = 40_000
 	// maxTextBytes bounds each text field of a record.
 	maxTextBytes = 256
@@ -194,7 +194,8 @@
 	}
 }
 
-// Tombstone returns the last version of a removed record; false if it is not or no longer remembered.
+// Tombstone returns the last version of a removed record; false if the record was not removed or its tombstone has
+// expired.
 func (t *Table) Tombstone(id string) (Record, bool) {
 	removed, ok := t.tombstones[id]
 	return removed.record, ok
--- a/coordination/execution/execution_test.go
+++ b/coordination/execution/execution_test.go
@@ -213,7 +213,6 @@
 	})
 
 	It("detects a ledger that serves commands from a stale replica", func() {
-
 		Expect(violationsWith(injectedFaults{staleReplica: true})).To(ContainSubstring("not linearizable"))
 	})
 })
--- a/coordination/raft/freshness.go
+++ b/coordination/raft/freshness.go
@@ -10,7 +10,7 @@
 	maxPolls         = 8
 )
 
-// freshness tracks how old the applied state may be. All times are on this member's own clock.
+// freshness tracks how old the applied state may be. All times are on this member's own monotonic clock.
 type freshness struct {
 	// The applied state holds everything that was committed before asOf, if known is set.
 	known bool
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -189,7 +189,7 @@
 // Len returns the number of routes.
 func (t *Table) Len() int { return len(t.routes) }
 
-// pathSegments yields the non-empty pathSegments of a path.
+// pathSegments yields the non-empty segments of a path.
 func pathSegments(path string) func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for path != "" {
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -23,7 +23,7 @@
 	return bundle.Route{Name: name, Service: "rank", Match: bundle.Match{Host: host, PathPrefix: prefix, Methods: methods}}
 }
 
-func mustNamed(table *routing.Table, name string) *routing.Route {
+func mustFind(table *routing.Table, name string) *routing.Route {
 	found, ok := table.ByName(name)
 	Expect(ok).To(BeTrue())
 	return found
@@ -104,7 +104,7 @@
 				return
 			}
 			Expect(err).NotTo(HaveOccurred())
-			Expect(found.Match.Compare(b.Routes[0].Match)).To(Equal(mustNamed(table, want).Match.Compare(b.Routes[0].Match)))
+			Expect(found.Match.Compare(b.Routes[0].Match)).To(Equal(mustFind(table, want).Match.Compare(b.Routes[0].Match)))
 		})
 	})
 
