--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -183,7 +183,7 @@
 		}
 	})
 
-	It("adds the processes that ask to join to the founding members", func() {
+	It("adds the processes that ask to join to the initial members", func() {
 		g := newGroup(voters)
 		g.members.Members = g.members.Members[:3]
 		g.settle()
--- a/coordination/raft/random_test.go
+++ b/coordination/raft/random_test.go
@@ -12,7 +12,7 @@
 // Guards against lost or changed committed entries, two leaders in a term, diverging logs, ages below the true age, and
 // groups that do not recover, under any schedule of faults.
 func TestRandomSchedules(t *testing.T) {
-	lagChecks, commits, leaders, removals := 0, 0, 0, 0
+	ageChecks, commits, leaders, removals := 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(rapid.Int64().Draw(t, "seed"), rapid.SampledFrom([]raft.Membership{voters("a", "b", "c"), voters("a", "b", "c", "d", "e")}).Draw(t, "voters"), "f", "g")
 		c.loss = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss")
@@ -27,10 +27,10 @@
 			c.run(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 		}
 		c.recoverAll(t)
-		lagChecks, commits, leaders = lagChecks+c.ageChecks, commits+len(c.states), leaders+len(c.leaders)
+		ageChecks, commits, leaders = ageChecks+c.ageChecks, commits+len(c.states), leaders+len(c.leaders)
 	})
-	t.Logf("%d age checks of members that lack entries, %d entries, %d terms with a leader, %d removals", lagChecks, commits, leaders, removals)
-	if lagChecks < 1000 || commits < 1000 || removals < 10 {
+	t.Logf("%d age checks of members that lack entries, %d entries, %d terms with a leader, %d removals", ageChecks, commits, leaders, removals)
+	if ageChecks < 1000 || commits < 1000 || removals < 10 {
 		t.Error("too few age checks, entries or removals: the schedules hardly exercise the group")
 	}
 }
--- a/node/upstream.go
+++ b/node/upstream.go
@@ -114,7 +114,7 @@
 	return u.client.Probe(ctx) == nil
 }
 
-// healthy reports whether the upstream's health check succeeds, or true if it announced no health path.
+// healthy reports whether the upstream's health check succeeds. An upstream without a health path counts as healthy.
 func (u *upstream) healthy(ctx context.Context) bool {
 	if u.announcement.HealthPath == "" {
 		return true
