--- a/state/bundle/update.go
+++ b/state/bundle/update.go
@@ -6,13 +6,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// wireUpdate is the encoding of an Update. A digest takes as much room as the rest of a small route and cannot be
-// compressed, so that none is sent that the receiver can compute: neither those of the parts that are sent, nor those of
-// the entries that name them.
+// wireUpdate is the encoding of an Update. A digest is as large as the rest of a small route and cannot be compressed.
+// The encoding therefore omits each digest that the receiver can compute: those of the parts that are included, and
+// those of the entries that refer to these parts.
 type wireUpdate struct {
 	Base   Digest `cbor:"1,keyasint"`
 	Target Digest `cbor:"2,keyasint"`
-	// Delta and Parts are the encoding of logs that were written before Set and Contents existed.
+	// Delta and Parts are only decoded: logs of earlier releases contain them instead of Set, Removed and Contents.
 	Delta    *Delta      `cbor:"3,keyasint,omitempty"`
 	Parts    []Part      `cbor:"4,keyasint,omitempty"`
 	Set      []wireEntry `cbor:"5,keyasint,omitempty"`
@@ -20,36 +20,37 @@
 	Contents [][]byte    `cbor:"7,keyasint,omitempty"`
 }
 
-// wireEntry is an entry whose part is sent, by its place in Contents counted from 1, or held, by its digest.
+// wireEntry is the encoding of an Entry. If the update includes the part, ContentNumber is its position in Contents,
+// counted from 1; otherwise the receiver already has the part, and Digest identifies it.
 type wireEntry struct {
-	ID     PartID `cbor:"1,keyasint"`
-	Sent   int    `cbor:"2,keyasint,omitempty"`
-	Digest Digest `cbor:"3,keyasint,omitzero"`
+	ID            PartID `cbor:"1,keyasint"`
+	ContentNumber int    `cbor:"2,keyasint,omitempty"`
+	Digest        Digest `cbor:"3,keyasint,omitzero"`
 }
 
-// MarshalCBOR encodes the update.
+// MarshalCBOR encodes the update as a wireUpdate.
 func (u Update) MarshalCBOR() ([]byte, error) {
 	wire := wireUpdate{Base: u.Base, Target: u.Target, Removed: u.Delta.Removed}
-	places := make(map[Digest]int, len(u.Parts))
+	contentNumbers := make(map[Digest]int, len(u.Parts))
 	for i, part := range u.Parts {
-		places[part.Digest] = i + 1
+		contentNumbers[part.Digest] = i + 1
 		wire.Contents = append(wire.Contents, part.Data)
 	}
 	for _, entry := range u.Delta.Set {
-		encoded := wireEntry{ID: entry.ID, Sent: places[entry.Digest]}
-		if encoded.Sent == 0 {
+		encoded := wireEntry{ID: entry.ID, ContentNumber: contentNumbers[entry.Digest]}
+		if encoded.ContentNumber == 0 {
 			encoded.Digest = entry.Digest
 		}
 		wire.Set = append(wire.Set, encoded)
 	}
-	return canonical.Marshal(wire)
+	return canonicalMode.Marshal(wire)
 }
 
-// UnmarshalCBOR decodes what MarshalCBOR encodes. The digests of the parts are computed from their content; Store.Add finds
-// out whether the result is the target.
+// UnmarshalCBOR decodes what MarshalCBOR encodes. The digests of the parts are computed from their content; Store.Add
+// verifies the result against the digest of the target.
 func (u *Update) UnmarshalCBOR(data []byte) error {
 	var wire wireUpdate
-	if err := strictUpdate.Unmarshal(data, &wire); err != nil {
+	if err := strictUpdateMode.Unmarshal(data, &wire); err != nil {
 		return err
 	}
 	decoded := Update{Base: wire.Base, Target: wire.Target, Parts: wire.Parts}
@@ -57,19 +58,19 @@
 		decoded.Delta = *wire.Delta
 	}
 	decoded.Delta.Removed = append(decoded.Delta.Removed, wire.Removed...)
-	sent := make([]Digest, 0, len(wire.Contents))
+	contentDigests := make([]Digest, 0, len(wire.Contents))
 	for _, content := range wire.Contents {
 		digest := Digest(sha256.Sum256(content))
-		sent = append(sent, digest)
+		contentDigests = append(contentDigests, digest)
 		decoded.Parts = append(decoded.Parts, Part{Digest: digest, Data: content})
 	}
 	for _, entry := range wire.Set {
 		digest := entry.Digest
-		if entry.Sent != 0 {
-			if entry.Sent < 0 || entry.Sent > len(sent) || !digest.IsZero() {
+		if entry.ContentNumber != 0 {
+			if entry.ContentNumber < 0 || entry.ContentNumber > len(contentDigests) || !digest.IsZero() {
 				return errors.Wrapf(ErrMissingPart, "entry %s", entry.ID.Name)
 			}
-			digest = sent[entry.Sent-1]
+			digest = contentDigests[entry.ContentNumber-1]
 		}
 		decoded.Delta.Set = append(decoded.Delta.Set, Entry{ID: entry.ID, Digest: digest})
 	}
