--- a/state/bundle/canonical.go
+++ b/state/bundle/canonical.go
@@ -23,13 +23,13 @@
 
 func canonicalizeRoute(r *Route) {
 	r.Match.Host = strings.ToLower(r.Match.Host)
-	r.Match.Methods = sortedSet(r.Match.Methods)
+	r.Match.Methods = sortedOrNil(r.Match.Methods)
 	r.Match.Headers = canonicalHeaders(r.Match.Headers)
-	r.Resources = sortedSet(r.Resources)
+	r.Resources = sortedOrNil(r.Resources)
 }
 
-// sortedSet returns the sorted list, or nil if it is empty.
-func sortedSet(list []string) []string {
+// sortedOrNil returns the sorted list, or nil if it is empty.
+func sortedOrNil(list []string) []string {
 	if len(list) == 0 {
 		return nil
 	}
--- a/state/bundle/keyring.go
+++ b/state/bundle/keyring.go
@@ -63,14 +63,14 @@
 // Sign returns the approval with the signature of the key over version, digest, operator and Replaces. Replaces is
 // covered so that nobody can strip the condition from a replacement.
 func Sign(key ed25519.PrivateKey, a Approval) Approval {
-	a.Signature = SignMessage(key, purposeApproval, a.signed())
+	a.Signature = SignMessage(key, purposeApproval, a.signedBytes())
 	return a
 }
 
-// signed returns the encoding that the signature covers.
-func (a Approval) signed() []byte {
+// signedBytes returns the encoding that the signature covers.
+func (a Approval) signedBytes() []byte {
 	a.Signature = nil
-	data, err := canonical.Marshal(a)
+	data, err := canonicalMode.Marshal(a)
 	if err != nil {
 		// The type holds only strings, integers and byte arrays, which always encode.
 		panic(err)
@@ -80,7 +80,7 @@
 
 // Verify returns ErrUnknownOperator or ErrBadSignature unless a key of the approval's operator signed it.
 func (k *Keyring) Verify(a Approval) error {
-	return k.VerifyMessage(a.Operator, purposeApproval, a.signed(), a.Signature)
+	return k.VerifyMessage(a.Operator, purposeApproval, a.signedBytes(), a.Signature)
 }
 
 // SignMessage signs a message under a purpose, so that a signature for one purpose never verifies for another.
@@ -130,7 +130,7 @@
 	for _, operator := range sortedKeys(k.trusted) {
 		list = append(list, operatorKeys{Operator: operator})
 	}
-	data, err := canonical.Marshal(list)
+	data, err := canonicalMode.Marshal(list)
 	if err != nil {
 		// The type holds only strings and byte slices, which always encode.
 		panic(err)
--- a/state/bundle/manifest.go
+++ b/state/bundle/manifest.go
@@ -24,7 +24,7 @@
 		// A nil list encodes as null, an empty one as an empty list.
 		m.Entries = []Entry{}
 	}
-	data, err := canonical.Marshal(m)
+	data, err := canonicalMode.Marshal(m)
 	if err != nil {
 		// The type holds only strings, integers and byte arrays, which always encode.
 		panic(err)
--- a/state/bundle/part.go
+++ b/state/bundle/part.go
@@ -86,7 +86,7 @@
 	return nil
 }
 
-var canonical = mustEncMode(cbor.CoreDetEncOptions())
+var canonicalMode = mustEncMode(cbor.CoreDetEncOptions())
 
 // maxPartDepth bounds the nesting of a part: a map of the part, one of a field and one of headers.
 const maxPartDepth = 4
@@ -94,14 +94,14 @@
 // maxUpdateDepth bounds the nesting of an update: maps of the update, its change, an entry and its identifier, and a list.
 const maxUpdateDepth = 5
 
-// strict and strictUpdate reject duplicate map keys, unknown fields, tags and indefinite lengths, so that one value has one
+// strict and strictUpdateMode reject duplicate map keys, unknown fields, tags and indefinite lengths, so that one value has one
 // encoding.
 var (
-	strict       = strictMode(maxPartDepth)
-	strictUpdate = strictMode(maxUpdateDepth)
+	strictPartMode   = newStrictMode(maxPartDepth)
+	strictUpdateMode = newStrictMode(maxUpdateDepth)
 )
 
-func strictMode(depth int) cbor.DecMode {
+func newStrictMode(depth int) cbor.DecMode {
 	return mustDecMode(cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
@@ -127,8 +127,8 @@
 	return mode
 }
 
-func newPart(value any) (Part, error) {
-	data, err := canonical.Marshal(value)
+func encodePart(value any) (Part, error) {
+	data, err := canonicalMode.Marshal(value)
 	if err != nil {
 		return Part{}, errors.Wrap(err, "bundle: encode part")
 	}
@@ -140,7 +140,7 @@
 	var parts []Part
 	var manifest Manifest
 	add := func(kind Kind, name string, value any) error {
-		part, err := newPart(value)
+		part, err := encodePart(value)
 		if err != nil {
 			return err
 		}
@@ -173,11 +173,11 @@
 	if err != nil {
 		return Update{}, err
 	}
-	return Update{Target: manifest.Digest(), Delta: Diff(Manifest{}, manifest), Parts: distinct(parts)}, nil
+	return Update{Target: manifest.Digest(), Delta: Diff(Manifest{}, manifest), Parts: distinctParts(parts)}, nil
 }
 
-// distinct drops parts that occur under several names.
-func distinct(parts []Part) []Part {
+// distinctParts drops parts that occur under several names.
+func distinctParts(parts []Part) []Part {
 	seen := make(map[Digest]bool, len(parts))
 	var list []Part
 	for _, part := range parts {
@@ -220,13 +220,13 @@
 
 func appendDecoded[T any](list *[]T, id PartID, data []byte, name func(*T) string) error {
 	var value T
-	if err := strict.Unmarshal(data, &value); err != nil {
+	if err := strictPartMode.Unmarshal(data, &value); err != nil {
 		return errors.Wrap(err, "bundle: decode part")
 	}
 	if name(&value) != id.Name {
 		return errors.Wrapf(ErrNotCanonical, "%q is listed as %q", name(&value), id.Name)
 	}
-	again, err := canonical.Marshal(value)
+	again, err := canonicalMode.Marshal(value)
 	if err != nil {
 		return errors.Wrap(err, "bundle: encode part")
 	}
--- a/state/bundle/update.go
+++ b/state/bundle/update.go
@@ -22,34 +22,34 @@
 
 // wireEntry is an entry whose part is sent, by its place in Contents counted from 1, or held, by its digest.
 type wireEntry struct {
-	ID     PartID `cbor:"1,keyasint"`
-	Sent   int    `cbor:"2,keyasint,omitempty"`
-	Digest Digest `cbor:"3,keyasint,omitzero"`
+	ID            PartID `cbor:"1,keyasint"`
+	ContentNumber int    `cbor:"2,keyasint,omitempty"`
+	Digest        Digest `cbor:"3,keyasint,omitzero"`
 }
 
 // MarshalCBOR encodes the update.
 func (u Update) MarshalCBOR() ([]byte, error) {
 	wire := wireUpdate{Base: u.Base, Target: u.Target, Removed: u.Delta.Removed}
-	places := make(map[Digest]int, len(u.Parts))
+	contentNumbers := make(map[Digest]int, len(u.Parts))
 	for i, part := range u.Parts {
-		places[part.Digest] = i + 1
+		contentNumbers[part.Digest] = i + 1
 		wire.Contents = append(wire.Contents, part.Data)
 	}
 	for _, entry := range u.Delta.Set {
-		encoded := wireEntry{ID: entry.ID, Sent: places[entry.Digest]}
-		if encoded.Sent == 0 {
+		encoded := wireEntry{ID: entry.ID, ContentNumber: contentNumbers[entry.Digest]}
+		if encoded.ContentNumber == 0 {
 			encoded.Digest = entry.Digest
 		}
 		wire.Set = append(wire.Set, encoded)
 	}
-	return canonical.Marshal(wire)
+	return canonicalMode.Marshal(wire)
 }
 
 // UnmarshalCBOR decodes what MarshalCBOR encodes. The digests of the parts are computed from their content; Store.Add finds
 // out whether the result is the target.
 func (u *Update) UnmarshalCBOR(data []byte) error {
 	var wire wireUpdate
-	if err := strictUpdate.Unmarshal(data, &wire); err != nil {
+	if err := strictUpdateMode.Unmarshal(data, &wire); err != nil {
 		return err
 	}
 	decoded := Update{Base: wire.Base, Target: wire.Target, Parts: wire.Parts}
@@ -57,19 +57,19 @@
 		decoded.Delta = *wire.Delta
 	}
 	decoded.Delta.Removed = append(decoded.Delta.Removed, wire.Removed...)
-	sent := make([]Digest, 0, len(wire.Contents))
+	contentDigests := make([]Digest, 0, len(wire.Contents))
 	for _, content := range wire.Contents {
 		digest := Digest(sha256.Sum256(content))
-		sent = append(sent, digest)
+		contentDigests = append(contentDigests, digest)
 		decoded.Parts = append(decoded.Parts, Part{Digest: digest, Data: content})
 	}
 	for _, entry := range wire.Set {
 		digest := entry.Digest
-		if entry.Sent != 0 {
-			if entry.Sent < 0 || entry.Sent > len(sent) || !digest.IsZero() {
+		if entry.ContentNumber != 0 {
+			if entry.ContentNumber < 0 || entry.ContentNumber > len(contentDigests) || !digest.IsZero() {
 				return errors.Wrapf(ErrMissingPart, "entry %s", entry.ID.Name)
 			}
-			digest = sent[entry.Sent-1]
+			digest = contentDigests[entry.ContentNumber-1]
 		}
 		decoded.Delta.Set = append(decoded.Delta.Set, Entry{ID: entry.ID, Digest: digest})
 	}
