--- a/state/bundle/bundle.go
+++ b/state/bundle/bundle.go
@@ -1,18 +1,19 @@
-// Package bundle holds the configuration model that operators declare: services, routes and resources,
-// their canonical encoding, their digests and the differences between versions.
+// Package bundle defines the configuration that operators declare: services, routes and resources. It validates a
+// bundle, encodes it canonically as parts with digests, computes updates between bundles, and checks the operators'
+// signatures on approvals.
 package bundle
 
-// Class tells how a route's calls are treated when capacity is short and when an answer is lost.
+// Class decides how a route's calls are treated when capacity is short and when a response is lost.
 type Class string
 
-// The classes, in the order in which admission serves them.
+// The classes, from the highest to the lowest default priority in admission.
 const (
 	ClassIrreversible Class = "irreversible"
 	ClassLookup       Class = "lookup"
 	ClassReport       Class = "report"
 )
 
-// ZonePolicy tells which availability zones a route's calls may be sent to.
+// ZonePolicy decides which availability zones a route's calls may be sent to.
 type ZonePolicy string
 
 const (
@@ -30,7 +31,8 @@
 	ResourceHeaders ResourceKind = "headers"
 	// ResourceCallLimit bounds the calls per second that one node accepts for a route.
 	ResourceCallLimit ResourceKind = "call-limit"
-	// ResourceCallerLimits bounds what callers may send, on all routes. No route names it, and there is one at most.
+	// ResourceCallerLimits bounds the requests of callers on all routes. A bundle has at most one such resource, and no
+	// route lists it.
 	ResourceCallerLimits ResourceKind = "caller-limits"
 )
 
@@ -41,22 +43,22 @@
 	Resources []Resource `json:"resources" cbor:"3,keyasint"`
 }
 
-// Service is a set of upstreams that announce themselves under one name.
+// Service is the configuration of the upstreams that register under one name.
 type Service struct {
 	Name string `json:"name" cbor:"1,keyasint"`
-	// MaxConcurrency bounds the calls in flight on one upstream; 0 takes the slots that the upstream announces.
+	// MaxConcurrency bounds the calls in flight on one upstream; 0 means the number of slots that the upstream announces.
 	MaxConcurrency int `json:"max_concurrency,omitempty" cbor:"2,keyasint,omitempty"`
-	// QueueLimit bounds the calls that wait for a slot of one upstream; 0 takes the default.
+	// QueueLimit bounds the calls that wait for a slot of one upstream; 0 means the default.
 	QueueLimit int `json:"queue_limit,omitempty" cbor:"3,keyasint,omitempty"`
-	// SlowStartMs is the time over which a new upstream's share of calls grows to its full value.
+	// SlowStartMs is the time, in milliseconds, over which a new upstream's share of calls grows to its full value.
 	SlowStartMs int `json:"slow_start_ms,omitempty" cbor:"4,keyasint,omitempty"`
-	// HealthPath is requested on upstreams of the service that announce no path of their own.
+	// HealthPath is the path of the health checks on upstreams that announce no health path of their own.
 	HealthPath string `json:"health_path,omitempty" cbor:"5,keyasint,omitempty"`
-	// MaxConnections bounds the connections to one upstream; 0 takes the number that the upstream announces.
+	// MaxConnections bounds the connections to one upstream; 0 means the number that the upstream announces.
 	MaxConnections int `json:"max_connections,omitempty" cbor:"6,keyasint,omitempty"`
 	// Protocol is the protocol that the upstreams speak; empty means ProtocolHTTP1, the only one.
 	Protocol Protocol `json:"protocol,omitempty" cbor:"7,keyasint,omitempty"`
-	// TLS must be false: upstreams are reached from their own instance only.
+	// TLS must be false: an upstream is called only by the node on its own instance.
 	TLS bool `json:"tls,omitempty" cbor:"8,keyasint,omitempty"`
 }
 
@@ -66,7 +68,7 @@
 // ProtocolHTTP1 is HTTP/1.1.
 const ProtocolHTTP1 Protocol = "h1"
 
-// Match selects the requests of a route. All conditions that are set must hold.
+// Match selects the requests of a route. A request must satisfy all conditions that are set.
 type Match struct {
 	Host       string            `json:"host,omitempty" cbor:"1,keyasint,omitempty"`
 	PathPrefix string            `json:"path_prefix" cbor:"2,keyasint"`
@@ -76,13 +78,13 @@
 
 // Retry is a route's retry policy.
 type Retry struct {
-	// MaxAttempts counts the first attempt; 0 takes the default, 1 switches retries off.
+	// MaxAttempts includes the first attempt; 0 means the default, 1 disables retries.
 	MaxAttempts int `json:"max_attempts,omitempty" cbor:"1,keyasint,omitempty"`
-	// BudgetPercent bounds retries as a share of the route's calls; 0 takes the default.
+	// BudgetPercent bounds retries as a percentage of the route's calls; 0 means the default.
 	BudgetPercent int `json:"budget_percent,omitempty" cbor:"2,keyasint,omitempty"`
 }
 
-// Share is one part of a split route.
+// Share is a service of a split route and the weight with which it receives requests.
 type Share struct {
 	Service string `json:"service" cbor:"1,keyasint"`
 	Weight  int    `json:"weight" cbor:"2,keyasint"`
@@ -95,7 +97,7 @@
 	// Service receives all requests. It is empty if Split is set.
 	Service string `json:"service,omitempty" cbor:"3,keyasint"`
 	Class   Class  `json:"class" cbor:"4,keyasint"`
-	// DeadlineMs bounds the time of a request; a caller may allow less.
+	// DeadlineMs is the time limit of a request in milliseconds; a caller may set a shorter one.
 	DeadlineMs   int        `json:"deadline_ms" cbor:"5,keyasint"`
 	Retry        Retry      `json:"retry,omitzero" cbor:"6,keyasint"`
 	Zone         ZonePolicy `json:"zone,omitempty" cbor:"7,keyasint,omitempty"`
@@ -104,16 +106,17 @@
 	Resources []string `json:"resources,omitempty" cbor:"9,keyasint,omitempty"`
 	// Split spreads the requests over services in proportion to their weights.
 	Split []Share `json:"split,omitempty" cbor:"10,keyasint,omitempty"`
-	// TargetMs is the time within which an answer has its full value; 0 sets none.
+	// TargetMs is the latency, in milliseconds, up to which a response has its full value for the caller; 0 means no
+	// target.
 	TargetMs int `json:"target_ms,omitempty" cbor:"11,keyasint,omitempty"`
-	// Priority ranks the route's calls in the queue of an upstream; 1 is served first. 0 takes the rank of the class.
+	// Priority ranks the route's calls in the queue of an upstream; 1 is served first. 0 means the priority of the class.
 	Priority int `json:"priority,omitempty" cbor:"12,keyasint,omitempty"`
-	// Keyless marks an irreversible route whose requests carry no key that a resend would repeat. Such a request runs at
-	// most once because it is sent to another upstream only after the one before proved that it has not run it.
+	// Keyless marks an irreversible route whose requests carry no idempotency key. Such a request runs at most once
+	// because it is sent to another upstream only after the previous one confirmed that it did not run the request.
 	Keyless bool `json:"keyless,omitempty" cbor:"13,keyasint,omitempty"`
 }
 
-// Shares returns the services of a route with their weights.
+// Shares returns the services of the route with their weights; a route without Split has a single share.
 func (r *Route) Shares() []Share {
 	if len(r.Split) > 0 {
 		return r.Split
@@ -127,7 +130,8 @@
 	Burst          int `json:"burst" cbor:"2,keyasint"`
 }
 
-// CallerLimits is the content of a resource of kind ResourceCallerLimits. Fields that are 0 take the node's settings.
+// CallerLimits is the content of a resource of kind ResourceCallerLimits. The node's settings apply to
+// fields that are 0.
 type CallerLimits struct {
 	MaxHeaderBytes  int   `json:"max_header_bytes,omitempty" cbor:"1,keyasint,omitempty"`
 	MaxBodyBytes    int64 `json:"max_body_bytes,omitempty" cbor:"2,keyasint,omitempty"`
@@ -141,6 +145,6 @@
 	Kind      ResourceKind      `json:"kind" cbor:"2,keyasint"`
 	Headers   map[string]string `json:"headers,omitempty" cbor:"3,keyasint,omitempty"`
 	CallLimit *CallLimit        `json:"call_limit,omitempty" cbor:"4,keyasint,omitempty"`
-	// CallerLimits is set for ResourceCallerLimits.
+	// CallerLimits is set if Kind is ResourceCallerLimits.
 	CallerLimits *CallerLimits `json:"caller_limits,omitempty" cbor:"5,keyasint,omitempty"`
 }
--- a/state/bundle/canonical.go
+++ b/state/bundle/canonical.go
@@ -28,7 +28,7 @@
 	r.Resources = sortedOrNil(r.Resources)
 }
 
-// sortedOrNil returns the sorted list, or nil if it is empty.
+// sortedOrNil returns a sorted copy of the list, or nil if it is empty.
 func sortedOrNil(list []string) []string {
 	if len(list) == 0 {
 		return nil
@@ -36,8 +36,8 @@
 	return slices.Sorted(slices.Values(list))
 }
 
-// canonicalHeaders returns the headers under canonical names, or nil if there is none. The names are visited in order
-// so that the result is deterministic for invalid input with one header in two spellings, too.
+// canonicalHeaders returns the headers under canonical names, or nil if there are none. It visits the names in sorted
+// order, so that the result is also deterministic for an invalid bundle that has one header in two spellings.
 func canonicalHeaders(headers map[string]string) map[string]string {
 	if len(headers) == 0 {
 		return nil
--- a/state/bundle/changes.go
+++ b/state/bundle/changes.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// ChangeAction tells how a part differs between two bundles.
+// ChangeAction says how a part differs between two bundles.
 type ChangeAction string
 
-// The actions.
+// The actions of a Change.
 const (
 	ChangeAdded   ChangeAction = "added"
 	ChangeRemoved ChangeAction = "removed"
@@ -25,7 +25,7 @@
 	Fields []FieldChange `json:"fields,omitempty"`
 }
 
-// FieldChange is the difference of one field. From or To is empty if the field is absent on that side.
+// FieldChange is the difference of one field. From or To is empty if the field is unset in that bundle.
 type FieldChange struct {
 	Field string `json:"field"`
 	From  string `json:"from,omitempty"`
@@ -50,7 +50,8 @@
 	return text.String()
 }
 
-// Changes lists the differences between two bundles in canonical form, sorted by kind and name.
+// Changes lists the differences between two bundles, which must be in canonical form: services, then routes, then
+// resources, each sorted by name.
 func Changes(from, to *Bundle) []Change {
 	changes := changesOf("service", from.Services, to.Services, func(s Service) string { return s.Name })
 	changes = append(changes, changesOf("route", from.Routes, to.Routes, func(r Route) string { return r.Name })...)
@@ -94,7 +95,7 @@
 	return slices.Compact(keys)
 }
 
-// flattenAll maps the names of items to their fields as path and JSON value.
+// flattenAll returns the fields of each item by the item's name. A field is given by its path and its JSON value.
 func flattenAll[T any](items []T, name func(T) string) map[string]map[string]string {
 	result := make(map[string]map[string]string, len(items))
 	for _, item := range items {
@@ -110,7 +111,7 @@
 	return result
 }
 
-// flatten descends into objects; lists stay one value.
+// flatten adds the fields of a JSON value under their paths, such as match.host. A list is one value.
 func flatten(fields map[string]string, path string, data json.RawMessage) {
 	var members map[string]json.RawMessage
 	if json.Unmarshal(data, &members) != nil {
--- a/state/bundle/keyfile.go
+++ b/state/bundle/keyfile.go
@@ -19,10 +19,10 @@
 // maxKeyFileBytes bounds key and keyring files.
 const maxKeyFileBytes = 1 << 20
 
-// privateFileMode is the only accepted permission of private key files, as other users must not read them.
+// privateFileMode is the most permissive accepted mode of private key files, because other users must not read them.
 const privateFileMode os.FileMode = 0o600
 
-// PrivateKey is the content of an operator's private key file.
+// PrivateKey is an operator's private key, as its file contains it.
 type PrivateKey struct {
 	Operator string
 	Key      ed25519.PrivateKey
@@ -37,7 +37,7 @@
 	Operators map[string][]string `json:"operators"`
 }
 
-// GenerateKey returns a new key of an operator.
+// GenerateKey returns a new private key for an operator.
 func GenerateKey(operator string, random io.Reader) (PrivateKey, error) {
 	if !validName(operator) {
 		return PrivateKey{}, errors.Wrapf(ErrKeyFile, "operator %q: allowed: 1 to %d of a-z, 0-9 and -, starting "+
@@ -47,7 +47,7 @@
 	return PrivateKey{Operator: operator, Key: key}, errors.Wrap(err, "bundle: generate key")
 }
 
-// Save writes the private key file. It never overwrites a file.
+// Save writes the private key file. It returns an error if the file exists.
 func (p PrivateKey) Save(file string) error {
 	content := privateKeyFile{Operator: p.Operator, Seed: base64.StdEncoding.EncodeToString(p.Key.Seed())}
 	data, err := json.MarshalIndent(content, "", "  ")
@@ -57,7 +57,7 @@
 	return writeNew(file, append(data, '\n'), privateFileMode)
 }
 
-// SavePublic writes a keyring file that holds only this key. It never overwrites a file.
+// SavePublic writes a keyring file that contains only the public key. It returns an error if the file exists.
 func (p PrivateKey) SavePublic(file string) error {
 	public, _ := p.Key.Public().(ed25519.PublicKey)
 	content := keyringFile{Operators: map[string][]string{
@@ -82,7 +82,8 @@
 	return errors.Wrap(errors.CombineErrors(err, f.Close()), "bundle: write key file")
 }
 
-// LoadKey reads a private key file. It refuses a file that other users may read.
+// LoadKey reads a private key file. It returns ErrKeyFile if the content is invalid or if the file's permissions exceed
+// 0600.
 func LoadKey(file string) (PrivateKey, error) {
 	info, err := os.Stat(file)
 	if err != nil {
@@ -100,12 +101,12 @@
 		return PrivateKey{}, errors.Wrapf(ErrKeyFile, "%s: seed: allowed: %d bytes in base64", file, ed25519.SeedSize)
 	}
 	if !validName(content.Operator) {
-		return PrivateKey{}, errors.Wrapf(ErrKeyFile, "%s: operator %q is no valid name", file, content.Operator)
+		return PrivateKey{}, errors.Wrapf(ErrKeyFile, "%s: operator %q is not a valid name", file, content.Operator)
 	}
 	return PrivateKey{Operator: content.Operator, Key: ed25519.NewKeyFromSeed(seed)}, nil
 }
 
-// LoadKeyring reads a keyring file: {"operators": {"name": ["public key in base64"]}}.
+// LoadKeyring reads a keyring file, which has the form {"operators": {"name": ["public key in base64"]}}.
 func LoadKeyring(file string) (*Keyring, error) {
 	var content keyringFile
 	if err := decodeKeyFile(file, &content); err != nil {
@@ -115,7 +116,7 @@
 	var faults []string
 	for _, operator := range sortedKeys(content.Operators) {
 		if !validName(operator) {
-			faults = append(faults, fmt.Sprintf("operators: %q is no valid name", operator))
+			faults = append(faults, fmt.Sprintf("operators: %q is not a valid name", operator))
 		}
 		for i, text := range content.Operators[operator] {
 			key, err := base64.StdEncoding.DecodeString(text)
@@ -147,7 +148,7 @@
 		return errors.Wrap(err, "bundle: read key file")
 	}
 	for _, fault := range strictjson.Decode(data, into) {
-		// The value is left out of the message, as it can be the secret.
+		// The message omits the value, which may be the private key.
 		err = errors.CombineErrors(err, errors.Wrapf(ErrKeyFile, "%s: %s: allowed: %s", file, fault.Path, fault.Allowed))
 	}
 	return err
--- a/state/bundle/keyring.go
+++ b/state/bundle/keyring.go
@@ -16,18 +16,18 @@
 	ErrBadSignature = errors.New("bundle: signature does not verify")
 )
 
-// purposeApproval separates signatures of approvals from signatures of other messages.
+// purposeApproval is signed together with an approval, so that a signature of another kind of message is not accepted.
 const purposeApproval = "sapphiregate approval 1"
 
 // Keyring maps operator names to the public keys whose signatures are accepted. It is immutable.
 type Keyring struct {
 	keys map[string][]ed25519.PublicKey
-	// trusted operators are accepted without a signature.
+	// trusted holds the operators whose messages are accepted without a signature.
 	trusted map[string]bool
 }
 
-// WithTrustedOperators returns a keyring that also accepts unsigned messages of the named operators. It is for deployments in which
-// the operator API is reachable only for callers that another system has authorized.
+// WithTrustedOperators returns a copy of the keyring that also accepts unsigned messages of the named operators. It is
+// for deployments in which the operator API is reachable only for callers that another system has authorized.
 func (k *Keyring) WithTrustedOperators(operators ...string) *Keyring {
 	next := NewKeyring(k.keys)
 	next.trusted = make(map[string]bool, len(k.trusted)+len(operators))
@@ -51,23 +51,23 @@
 	return k
 }
 
-// Operators lists the operators with a key, sorted.
+// Operators lists the operators that have a key, sorted by name.
 func (k *Keyring) Operators() []string { return sortedKeys(k.keys) }
 
-// Has reports whether the operator has a key.
+// Has reports whether the operator has a key or is trusted.
 func (k *Keyring) Has(operator string) bool {
 	_, ok := k.keys[operator]
 	return ok || k.trusted[operator]
 }
 
-// Sign returns the approval with the signature of the key over version, digest, operator and Replaces. Replaces is
-// covered so that nobody can strip the condition from a replacement.
+// Sign returns the approval with a signature over all its other fields. The conditions Replaces and First are signed so
+// that nobody can remove them from an approval.
 func Sign(key ed25519.PrivateKey, a Approval) Approval {
 	a.Signature = SignMessage(key, purposeApproval, a.signedBytes())
 	return a
 }
 
-// signedBytes returns the encoding that the signature covers.
+// signedBytes returns the encoding of the approval without its signature, which is what is signed.
 func (a Approval) signedBytes() []byte {
 	a.Signature = nil
 	data, err := canonicalMode.Marshal(a)
@@ -78,17 +78,18 @@
 	return data
 }
 
-// Verify returns ErrUnknownOperator or ErrBadSignature unless a key of the approval's operator signed it.
+// Verify returns ErrUnknownOperator if the approval's operator has no key, and ErrBadSignature if none of the
+// operator's keys made the signature. An unsigned approval of a trusted operator is valid.
 func (k *Keyring) Verify(a Approval) error {
 	return k.VerifyMessage(a.Operator, purposeApproval, a.signedBytes(), a.Signature)
 }
 
-// SignMessage signs a message under a purpose, so that a signature for one purpose never verifies for another.
+// SignMessage signs a message together with a purpose, so that a signature for one purpose is invalid for another.
 func SignMessage(key ed25519.PrivateKey, purpose string, message []byte) []byte {
 	return ed25519.Sign(key, withPurpose(purpose, message))
 }
 
-// VerifyMessage checks a signature that SignMessage made with a key of the operator.
+// VerifyMessage checks a signature that SignMessage made with a key of the operator. Its errors are those of Verify.
 func (k *Keyring) VerifyMessage(operator, purpose string, message, signature []byte) error {
 	if k.trusted[operator] && len(signature) == 0 {
 		return nil
@@ -106,13 +107,13 @@
 	return errors.Wrapf(ErrBadSignature, "operator %q", operator)
 }
 
-// withPurpose joins purpose and message; purposes contain no zero byte.
+// withPurpose joins purpose and message with a zero byte. The result is unambiguous because purposes contain none.
 func withPurpose(purpose string, message []byte) []byte {
 	return slices.Concat([]byte(purpose), []byte{0}, message)
 }
 
-// Digest identifies the content of the keyring. Members of one control group must have equal keyrings, because each
-// member verifies signatures when it applies the log.
+// Digest returns the digest of the operators and their keys. It lets the members of a control group compare their
+// keyrings, which must be equal because each member verifies signatures when it applies the log.
 func (k *Keyring) Digest() Digest {
 	type operatorKeys struct {
 		Operator string   `cbor:"1,keyasint"`
--- a/state/bundle/load.go
+++ b/state/bundle/load.go
@@ -15,7 +15,7 @@
 )
 
 // Load reads all *.json files below a folder, validates the result and returns it in canonical form. The error is of
-// type Problems when the content of the files is at fault.
+// type Problems if the content of the files is invalid.
 func Load(folder string) (*Bundle, error) {
 	files, err := bundleFiles(folder)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return io.ReadAll(io.LimitReader(file, MaxFileBytes+1))
 }
 
-// append adds the items of one file and records their places.
+// append adds the items of one file and records their origins.
 func (b *Bundle) append(other *Bundle, file string, from *origins) {
 	for i, service := range other.Services {
 		b.Services = append(b.Services, service)
@@ -86,8 +86,8 @@
 	}
 }
 
-// Parse decodes the content of one bundle file. Unknown fields and duplicate keys are rejected. The bundle holds what
-// could be decoded.
+// Parse decodes the content of one bundle file. Unknown fields and duplicate keys are rejected. The returned
+// bundle contains the values that could be decoded.
 func Parse(file string, data []byte) (*Bundle, Problems) {
 	b := &Bundle{}
 	if len(data) > MaxFileBytes {
@@ -101,7 +101,7 @@
 	return b, problems
 }
 
-// Format returns the JSON form of a bundle, which Parse reads.
+// Format encodes a bundle as the content of a bundle file, which Parse decodes.
 func Format(b *Bundle) ([]byte, error) {
 	full := Bundle{
 		Services:  append([]Service{}, b.Services...),
--- a/state/bundle/manifest.go
+++ b/state/bundle/manifest.go
@@ -21,7 +21,7 @@
 // Digest returns the bundle digest: the SHA-256 of the canonical encoding of the sorted entries.
 func (m Manifest) Digest() Digest {
 	if m.Entries == nil {
-		// A nil list encodes as null, an empty one as an empty list.
+		// A nil list would encode as null and give an empty manifest a second digest.
 		m.Entries = []Entry{}
 	}
 	data, err := canonicalMode.Marshal(m)
@@ -32,13 +32,14 @@
 	return sha256.Sum256(data)
 }
 
-// Delta is the change from one manifest to another.
+// Delta is the change from one manifest to another: Set holds the entries that are added or replaced, Removed the
+// identifiers of those that are dropped.
 type Delta struct {
 	Set     []Entry  `cbor:"1,keyasint,omitempty"`
 	Removed []PartID `cbor:"2,keyasint,omitempty"`
 }
 
-// Diff returns the change that leads from one manifest to another.
+// Diff returns the delta between two manifests.
 func Diff(from, to Manifest) Delta {
 	held := make(map[PartID]Digest, len(from.Entries))
 	for _, entry := range from.Entries {
@@ -58,8 +59,8 @@
 	return delta
 }
 
-// Apply returns the manifest that the change leads to. It returns ErrDigestMismatch unless that manifest has the
-// expected digest, so that a delta applied to the wrong base is always found.
+// Apply returns the manifest after the delta. It returns ErrDigestMismatch if the digest of the result is not the
+// expected one, so that a delta that is applied to the wrong base is detected.
 func (m Manifest) Apply(delta Delta, want Digest) (Manifest, error) {
 	entries := make(map[PartID]Digest, len(m.Entries)+len(delta.Set))
 	for _, entry := range m.Entries {
--- a/state/bundle/match.go
+++ b/state/bundle/match.go
@@ -18,7 +18,7 @@
 	)
 }
 
-// compareSet puts true before false.
+// compareSet orders a condition that is set before one that is not.
 func compareSet(a, b bool) int {
 	switch {
 	case a == b:
@@ -30,7 +30,7 @@
 	}
 }
 
-// Overlaps reports whether one request can satisfy both matches. Header names must be in canonical form.
+// Overlaps reports whether a single request can satisfy both matches. Header names must be in canonical form.
 func (m Match) Overlaps(other Match) bool {
 	if m.Host != "" && other.Host != "" && !strings.EqualFold(m.Host, other.Host) {
 		return false
@@ -61,7 +61,8 @@
 	return true
 }
 
-// hasPathPrefix reports whether whole segments of a path start with a prefix, so that /rank does not match /ranking.
+// hasPathPrefix reports whether the first segments of a path are those of the prefix, so that the prefix /rank does not
+// match /ranking.
 func hasPathPrefix(path, prefix string) bool {
 	if prefix == "/" {
 		return strings.HasPrefix(path, "/")
@@ -77,7 +78,7 @@
 	return slices.ContainsFunc(a, func(method string) bool { return slices.Contains(b, method) })
 }
 
-// headersOverlap reports whether no header is required with two different values.
+// headersOverlap reports whether no header is required to have two different values.
 func headersOverlap(a, b map[string]string) bool {
 	for name, value := range a {
 		if other, ok := b[name]; ok && other != value {
--- a/state/bundle/part.go
+++ b/state/bundle/part.go
@@ -15,14 +15,14 @@
 var (
 	// ErrCorruptPart reports a part whose content does not match its digest.
 	ErrCorruptPart = errors.New("bundle: part does not match its digest")
-	// ErrMissingPart reports a manifest that names a part which is not held.
-	ErrMissingPart = errors.New("bundle: part is not held")
-	// ErrUnknownKind reports a part of a kind that this program does not know.
+	// ErrMissingPart reports a manifest that names a part that the store does not have.
+	ErrMissingPart = errors.New("bundle: part is missing")
+	// ErrUnknownKind reports a part of a kind that this release does not know.
 	ErrUnknownKind = errors.New("bundle: unknown part kind")
 	// ErrDigestMismatch reports a manifest that does not have the expected bundle digest.
 	ErrDigestMismatch = errors.New("bundle: manifest does not match the bundle digest")
-	// ErrNotCanonical reports a part that does not have the one encoding of its value, or not the name under which
-	// its manifest lists it.
+	// ErrNotCanonical reports a part that is not the canonical encoding of its value, or whose name differs from the
+	// name in the manifest.
 	ErrNotCanonical = errors.New("bundle: part is not in canonical form")
 )
 
@@ -61,7 +61,7 @@
 	KindResource
 )
 
-// PartID names a part within a bundle.
+// PartID identifies a part within a bundle.
 type PartID struct {
 	Kind Kind   `cbor:"1,keyasint"`
 	Name string `cbor:"2,keyasint"`
@@ -88,14 +88,15 @@
 
 var canonicalMode = mustEncMode(cbor.CoreDetEncOptions())
 
-// maxPartDepth bounds the nesting of a part: a map of the part, one of a field and one of headers.
+// maxPartDepth bounds the nesting levels of an encoded part; a route has three: the part, its match and the headers.
 const maxPartDepth = 4
 
-// maxUpdateDepth bounds the nesting of an update: maps of the update, its change, an entry and its identifier, and a list.
+// maxUpdateDepth bounds the nesting levels of an encoded update: the update, its delta, a list, an entry and the
+// entry's identifier.
 const maxUpdateDepth = 5
 
-// strict and strictUpdateMode reject duplicate map keys, unknown fields, tags and indefinite lengths, so that one value has one
-// encoding.
+// strictPartMode and strictUpdateMode reject duplicate map keys, unknown fields, tags and indefinite lengths. Each of
+// these would allow several encodings of one value, and so several digests.
 var (
 	strictPartMode   = newStrictMode(maxPartDepth)
 	strictUpdateMode = newStrictMode(maxUpdateDepth)
@@ -135,7 +136,8 @@
 	return Part{Digest: sha256.Sum256(data), Data: data}, nil
 }
 
-// Split returns the bundle's parts and the manifest that lists them.
+// Split encodes the services, routes and resources of a bundle as parts, and returns them with the manifest that lists
+// them.
 func Split(b *Bundle) ([]Part, Manifest, error) {
 	var parts []Part
 	var manifest Manifest
@@ -167,7 +169,7 @@
 	return parts, manifest, nil
 }
 
-// FullUpdate returns the update that brings a bundle to a store that holds nothing.
+// FullUpdate returns the update that adds a bundle to an empty store.
 func FullUpdate(b *Bundle) (Update, error) {
 	parts, manifest, err := Split(b)
 	if err != nil {
@@ -176,7 +178,7 @@
 	return Update{Target: manifest.Digest(), Delta: Diff(Manifest{}, manifest), Parts: distinctParts(parts)}, nil
 }
 
-// distinctParts drops parts that occur under several names.
+// distinctParts removes parts with equal digests.
 func distinctParts(parts []Part) []Part {
 	seen := make(map[Digest]bool, len(parts))
 	var list []Part
@@ -224,7 +226,7 @@
 		return errors.Wrap(err, "bundle: decode part")
 	}
 	if name(&value) != id.Name {
-		return errors.Wrapf(ErrNotCanonical, "%q is listed as %q", name(&value), id.Name)
+		return errors.Wrapf(ErrNotCanonical, "part is named %q, its manifest lists it as %q", name(&value), id.Name)
 	}
 	again, err := canonicalMode.Marshal(value)
 	if err != nil {
@@ -237,7 +239,7 @@
 	return nil
 }
 
-// sort brings the entries into the order that the digest is computed over.
+// sort puts the entries in the order in which the digest covers them.
 func (m *Manifest) sort() {
 	slices.SortFunc(m.Entries, func(a, b Entry) int { return a.ID.Compare(b.ID) })
 }
--- a/state/bundle/problem.go
+++ b/state/bundle/problem.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Problem is one fault in a bundle.
+// Problem is one invalid value in a bundle.
 type Problem struct {
-	// File is the file that holds the value; it is empty for a bundle that was not loaded from files.
+	// File is the file that contains the value; it is empty for a bundle that was not loaded from files.
 	File string `json:"file,omitempty"`
 	// Field is the path of the value, such as routes[3].match.path_prefix.
 	Field string `json:"field"`
-	// Value is the faulty value as text.
+	// Value is the invalid value as text.
 	Value string `json:"value"`
 	// Allowed says which values are accepted.
 	Allowed string `json:"allowed"`
@@ -26,7 +26,7 @@
 	return p.File + ": " + text
 }
 
-// Problems lists all faults of a bundle. An empty list means that the bundle is valid.
+// Problems lists all problems of a bundle. An empty list means that the bundle is valid.
 type Problems []Problem
 
 // Error formats one problem per line.
--- a/state/bundle/store.go
+++ b/state/bundle/store.go
@@ -4,8 +4,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Update moves a holder from one bundle to another: the manifest's change and the parts that the base lacks.
-// A zero Base means that the update is complete in itself.
+// Update is the change from the bundle Base to the bundle Target: the delta between their manifests and the parts that
+// Base does not contain. With a zero Base the update contains the whole target.
 type Update struct {
 	Base   Digest `cbor:"1,keyasint"`
 	Target Digest `cbor:"2,keyasint"`
@@ -19,8 +19,8 @@
 	manifests map[Digest]Manifest
 }
 
-// storedPart counts the manifest entries that name a part, so that dropping a bundle costs time in the size of that
-// bundle only.
+// storedPart is a part and the number of manifest entries that refer to it. The reference count lets the store drop a
+// bundle in time proportional to the size of that bundle.
 type storedPart struct {
 	data []byte
 	uses int
@@ -31,8 +31,9 @@
 	return &Store{parts: make(map[Digest]*storedPart), manifests: make(map[Digest]Manifest)}
 }
 
-// Add applies an update. It is idempotent. Nothing is kept if a part is corrupt, the base is not held,
-// a part is missing, or the result does not have the target's digest. Parts that the target does not name are ignored.
+// Add applies an update. It is idempotent. If the update cannot be applied, Add leaves the store unchanged and returns
+// ErrCorruptPart, ErrDigestMismatch or, also for an unknown base, ErrMissingPart. Parts that the target does not list
+// are ignored.
 func (s *Store) Add(update Update) error {
 	if s.Holds(update.Target) {
 		return nil
@@ -83,25 +84,25 @@
 	return manifest, nil
 }
 
-// Holds reports whether the bundle with this digest is complete in the store.
+// Holds reports whether the store has the bundle with this digest, with all its parts.
 func (s *Store) Holds(digest Digest) bool {
 	_, ok := s.manifests[digest]
 	return ok
 }
 
-// HoldsPart reports whether any held bundle contains the part with this digest.
+// HoldsPart reports whether a stored bundle contains the part with this digest.
 func (s *Store) HoldsPart(digest Digest) bool {
 	_, ok := s.parts[digest]
 	return ok
 }
 
-// Manifest returns the manifest of a held bundle.
+// Manifest returns the manifest of a stored bundle.
 func (s *Store) Manifest(digest Digest) (Manifest, bool) {
 	manifest, ok := s.manifests[digest]
 	return manifest, ok
 }
 
-// Bundle assembles a held bundle.
+// Bundle assembles a stored bundle. It returns ErrMissingPart if the store does not have it.
 func (s *Store) Bundle(digest Digest) (*Bundle, error) {
 	manifest, ok := s.manifests[digest]
 	if !ok {
@@ -118,8 +119,8 @@
 	return part.data, true
 }
 
-// Update returns the change from base to target with the parts that base lacks. An unknown base yields an update
-// that is complete in itself.
+// Update returns the update from base to target. If the store does not have base, the update contains the whole
+// target. It returns ErrMissingPart if the store does not have target.
 func (s *Store) Update(base, target Digest) (Update, error) {
 	to, ok := s.manifests[target]
 	if !ok {
@@ -144,7 +145,7 @@
 	return update, nil
 }
 
-// Retain drops all bundles but the named ones, and the parts that only the dropped ones use.
+// Retain drops all bundles except the given ones, and the parts that only dropped bundles contain.
 func (s *Store) Retain(digests ...Digest) {
 	kept := make(map[Digest]bool, len(digests))
 	for _, digest := range digests {
--- a/state/bundle/update.go
+++ b/state/bundle/update.go
@@ -6,13 +6,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// wireUpdate is the encoding of an Update. A digest takes as much room as the rest of a small route and cannot be
-// compressed, so that none is sent that the receiver can compute: neither those of the parts that are sent, nor those of
-// the entries that name them.
+// wireUpdate is the encoding of an Update. A digest is as large as the rest of a small route and cannot be compressed.
+// The encoding therefore omits each digest that the receiver can compute: those of the parts that are included, and
+// those of the entries that refer to these parts.
 type wireUpdate struct {
 	Base   Digest `cbor:"1,keyasint"`
 	Target Digest `cbor:"2,keyasint"`
-	// Delta and Parts are the encoding of logs that were written before Set and Contents existed.
+	// Delta and Parts are only decoded: logs of earlier releases contain them instead of Set, Removed and Contents.
 	Delta    *Delta      `cbor:"3,keyasint,omitempty"`
 	Parts    []Part      `cbor:"4,keyasint,omitempty"`
 	Set      []wireEntry `cbor:"5,keyasint,omitempty"`
@@ -20,14 +20,15 @@
 	Contents [][]byte    `cbor:"7,keyasint,omitempty"`
 }
 
-// wireEntry is an entry whose part is sent, by its place in Contents counted from 1, or held, by its digest.
+// wireEntry is the encoding of an Entry. If the update includes the part, ContentNumber is its position in Contents,
+// counted from 1; otherwise the receiver already has the part, and Digest identifies it.
 type wireEntry struct {
 	ID            PartID `cbor:"1,keyasint"`
 	ContentNumber int    `cbor:"2,keyasint,omitempty"`
 	Digest        Digest `cbor:"3,keyasint,omitzero"`
 }
 
-// MarshalCBOR encodes the update.
+// MarshalCBOR encodes the update as a wireUpdate.
 func (u Update) MarshalCBOR() ([]byte, error) {
 	wire := wireUpdate{Base: u.Base, Target: u.Target, Removed: u.Delta.Removed}
 	contentNumbers := make(map[Digest]int, len(u.Parts))
@@ -45,8 +46,8 @@
 	return canonicalMode.Marshal(wire)
 }
 
-// UnmarshalCBOR decodes what MarshalCBOR encodes. The digests of the parts are computed from their content; Store.Add finds
-// out whether the result is the target.
+// UnmarshalCBOR decodes what MarshalCBOR encodes. The digests of the parts are computed from their content; Store.Add
+// verifies the result against the digest of the target.
 func (u *Update) UnmarshalCBOR(data []byte) error {
 	var wire wireUpdate
 	if err := strictUpdateMode.Unmarshal(data, &wire); err != nil {
--- a/state/bundle/validate.go
+++ b/state/bundle/validate.go
@@ -13,35 +13,38 @@
 // methods lists the request methods that a route can match.
 var methods = []string{"DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"}
 
-// reservedHeaders cannot be set by a resource: they are hop-by-hop, frame the message or belong to the protocol.
+// reservedHeaders lists headers that a resource must not set: hop-by-hop headers, headers that delimit or address the
+// message, and headers that belong to the protocol.
 var reservedHeaders = []string{
 	"Connection", "Content-Length", "Host", "Idempotency-Key", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// reservedPrefix starts the names of the protocol's own headers.
+// reservedPrefix is the prefix of the names of the protocol's own headers.
 const reservedPrefix = "Sapphire-"
 
-// maxSuggestions bounds the names that a problem lists as allowed.
+// maxSuggestions bounds the declared names that a problem lists as allowed.
 const maxSuggestions = 8
 
-// origin is the place of an item in the files.
+// origin is the file of an item and its index in that file's list.
 type origin struct {
 	file  string
 	index int
 }
 
-// origins holds the places of the items of a bundle, parallel to its lists. Nil lists mean that the bundle was not
-// loaded from files.
+// origins holds the origins of the items of a bundle, in the order of the bundle's lists. The lists are nil if the bundle
+// was not loaded from files.
 type origins struct {
 	services, routes, resources []origin
 }
 
-// location is the file and the field path of an item.
+// location is the file and the field path of a value, as a Problem reports them.
 type location struct {
 	file, path string
 }
 
+// itemLocation returns the location of item i of a list of the bundle. If the bundle was loaded from files, the index in
+// the path counts within the file of the item.
 func itemLocation(list string, from []origin, i int) location {
 	if from == nil {
 		return location{path: fmt.Sprintf("%s[%d]", list, i)}
@@ -64,13 +67,13 @@
 	problems  Problems
 	services  map[string]bool
 	resources map[string]*Resource
-	// serviceSuggestions and resourceSuggestions suggest declared names in problems.
+	// serviceSuggestions and resourceSuggestions list the first declared names; problems show them as allowed values.
 	serviceSuggestions, resourceSuggestions string
-	// hasCallerLimits is set once a resource of kind caller-limits was seen.
+	// hasCallerLimits reports whether a resource of kind caller-limits was checked before.
 	hasCallerLimits bool
 }
 
-// Validate returns all faults of a bundle.
+// Validate returns all problems of a bundle.
 func Validate(b *Bundle) Problems { return validate(b, origins{}) }
 
 func validate(b *Bundle, from origins) Problems {
@@ -92,8 +95,8 @@
 	return v.problems
 }
 
-func (v *validator) addProblem(at location, value, allowed string) {
-	v.problems = append(v.problems, Problem{File: at.file, Field: at.path, Value: value, Allowed: allowed})
+func (v *validator) addProblem(loc location, value, allowed string) {
+	v.problems = append(v.problems, Problem{File: loc.file, Field: loc.path, Value: value, Allowed: allowed})
 }
 
 func (v *validator) checkCounts() {
@@ -102,91 +105,91 @@
 	v.checkRange(location{path: "resources"}, int64(len(v.bundle.Resources)), 0, MaxResources)
 }
 
-func (v *validator) checkRange(at location, value, low, high int64) {
+func (v *validator) checkRange(loc location, value, low, high int64) {
 	if value < low || value > high {
-		v.addProblem(at, strconv.FormatInt(value, 10), fmt.Sprintf("%d to %d", low, high))
+		v.addProblem(loc, strconv.FormatInt(value, 10), fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
-func (v *validator) checkName(at location, name string, taken bool) {
+func (v *validator) checkName(loc location, name string, duplicate bool) {
 	if !validName(name) {
-		v.addProblem(at, strictjson.Quote(name),
+		v.addProblem(loc, strictjson.Quote(name),
 			fmt.Sprintf("1 to %d of a-z, 0-9 and -, starting with a letter", MaxNameLength))
 		return
 	}
-	if taken {
-		v.addProblem(at, strictjson.Quote(name), "a name that no other entry of the list has")
+	if duplicate {
+		v.addProblem(loc, strictjson.Quote(name), "a name that no other entry of the list has")
 	}
 }
 
-func (v *validator) checkService(at location, s *Service) {
-	v.checkName(at.field("name"), s.Name, v.services[s.Name])
+func (v *validator) checkService(loc location, s *Service) {
+	v.checkName(loc.field("name"), s.Name, v.services[s.Name])
 	v.services[s.Name] = true
-	v.checkRange(at.field("max_concurrency"), int64(s.MaxConcurrency), 0, MaxConcurrency)
-	v.checkRange(at.field("queue_limit"), int64(s.QueueLimit), 0, MaxQueueLimit)
-	v.checkRange(at.field("slow_start_ms"), int64(s.SlowStartMs), 0, MaxSlowStartMs)
-	v.checkRange(at.field("max_connections"), int64(s.MaxConnections), 0, MaxConnections)
+	v.checkRange(loc.field("max_concurrency"), int64(s.MaxConcurrency), 0, MaxConcurrency)
+	v.checkRange(loc.field("queue_limit"), int64(s.QueueLimit), 0, MaxQueueLimit)
+	v.checkRange(loc.field("slow_start_ms"), int64(s.SlowStartMs), 0, MaxSlowStartMs)
+	v.checkRange(loc.field("max_connections"), int64(s.MaxConnections), 0, MaxConnections)
 	if s.HealthPath != "" && !validPath(s.HealthPath) {
-		v.addProblem(at.field("health_path"), strictjson.Quote(s.HealthPath), "a path such as /health")
+		v.addProblem(loc.field("health_path"), strictjson.Quote(s.HealthPath), "a path such as /health")
 	}
 	if s.Protocol != "" && s.Protocol != ProtocolHTTP1 {
-		v.addProblem(at.field("protocol"), strictjson.Quote(string(s.Protocol)), oneOf(ProtocolHTTP1)+", or no value")
+		v.addProblem(loc.field("protocol"), strictjson.Quote(string(s.Protocol)), oneOf(ProtocolHTTP1)+", or no value")
 	}
 	if s.TLS {
-		v.addProblem(at.field("tls"), "true", "false: upstreams are reached from their own instance only")
+		v.addProblem(loc.field("tls"), "true", "false: an upstream is called only from its own instance")
 	}
 }
 
-func (v *validator) checkResource(at location, r *Resource) {
-	v.checkName(at.field("name"), r.Name, v.resources[r.Name] != nil)
+func (v *validator) checkResource(loc location, r *Resource) {
+	v.checkName(loc.field("name"), r.Name, v.resources[r.Name] != nil)
 	v.resources[r.Name] = r
 	switch r.Kind {
 	case ResourceHeaders:
-		v.checkHeadersResource(at, r)
+		v.checkHeadersResource(loc, r)
 	case ResourceCallLimit:
-		v.checkCallLimitResource(at, r)
+		v.checkCallLimitResource(loc, r)
 	case ResourceCallerLimits:
-		v.checkCallerLimitsResource(at, r)
+		v.checkCallerLimitsResource(loc, r)
 	default:
-		v.addProblem(at.field("kind"), strictjson.Quote(string(r.Kind)),
+		v.addProblem(loc.field("kind"), strictjson.Quote(string(r.Kind)),
 			oneOf(ResourceHeaders, ResourceCallLimit, ResourceCallerLimits))
 	}
 	if r.Kind != ResourceCallerLimits && r.CallerLimits != nil {
-		v.addProblem(at.field("caller_limits"), "an object", "no caller_limits in a resource of kind "+string(r.Kind))
+		v.addProblem(loc.field("caller_limits"), "an object", "no caller_limits in a resource of kind "+string(r.Kind))
 	}
 }
 
-func (v *validator) checkCallerLimitsResource(at location, r *Resource) {
+func (v *validator) checkCallerLimitsResource(loc location, r *Resource) {
 	if len(r.Headers) != 0 || r.CallLimit != nil {
-		v.addProblem(at, "headers or call_limit", "only caller_limits in a resource of kind caller-limits")
+		v.addProblem(loc, "headers or call_limit", "only caller_limits in a resource of kind caller-limits")
 	}
 	if v.hasCallerLimits {
-		v.addProblem(at, strictjson.Quote(r.Name), "one resource of kind caller-limits")
+		v.addProblem(loc, strictjson.Quote(r.Name), "one resource of kind caller-limits")
 	}
 	v.hasCallerLimits = true
 	if r.CallerLimits == nil {
-		v.addProblem(at.field("caller_limits"), "nothing", "an object")
+		v.addProblem(loc.field("caller_limits"), "nothing", "an object")
 		return
 	}
-	limits := at.field("caller_limits")
+	limits := loc.field("caller_limits")
 	v.checkRange(limits.field("max_header_bytes"), int64(r.CallerLimits.MaxHeaderBytes), 0, MaxHeaderBytes)
 	v.checkRange(limits.field("max_body_bytes"), r.CallerLimits.MaxBodyBytes, 0, MaxBodyBytes)
 	v.checkRange(limits.field("header_timeout_ms"), int64(r.CallerLimits.HeaderTimeoutMs), 0, MaxDeadlineMs)
 	v.checkRange(limits.field("idle_timeout_ms"), int64(r.CallerLimits.IdleTimeoutMs), 0, MaxDeadlineMs)
 }
 
-// checkSplit checks the parts of a route that is spread over services. A weight of 0 sends nothing to its service.
-func (v *validator) checkSplit(at location, r *Route) {
+// checkSplit checks the services and weights of a split route. A service with weight 0 receives no requests.
+func (v *validator) checkSplit(loc location, r *Route) {
 	if r.Service != "" {
-		v.addProblem(at.field("service"), strictjson.Quote(r.Service), "no service beside split")
+		v.addProblem(loc.field("service"), strictjson.Quote(r.Service), "no service beside split")
 	}
 	if len(r.Split) > MaxShares {
-		v.addProblem(at.field("split"), strconv.Itoa(len(r.Split)), fmt.Sprintf("1 to %d services", MaxShares))
+		v.addProblem(loc.field("split"), strconv.Itoa(len(r.Split)), fmt.Sprintf("1 to %d services", MaxShares))
 		return
 	}
 	total := 0
 	for i, share := range r.Split {
-		item := at.field("split").item(i)
+		item := loc.field("split").item(i)
 		if !v.services[share.Service] {
 			v.addProblem(item.field("service"), strictjson.Quote(share.Service), "a declared service"+v.serviceSuggestions)
 		}
@@ -194,72 +197,73 @@
 		total += share.Weight
 	}
 	if total <= 0 {
-		v.addProblem(at.field("split"), strconv.Itoa(total), "weights with a sum above 0")
+		v.addProblem(loc.field("split"), strconv.Itoa(total), "weights with a sum greater than 0")
 	}
 }
 
-func (v *validator) checkHeadersResource(at location, r *Resource) {
+func (v *validator) checkHeadersResource(loc location, r *Resource) {
 	if r.CallLimit != nil {
-		v.addProblem(at.field("call_limit"), "an object", "no call_limit in a resource of kind headers")
+		v.addProblem(loc.field("call_limit"), "an object", "no call_limit in a resource of kind headers")
 	}
 	if len(r.Headers) == 0 {
-		v.addProblem(at.field("headers"), "no header", "at least one header")
+		v.addProblem(loc.field("headers"), "no header", "at least one header")
 	}
-	v.checkHeaders(at.field("headers"), r.Headers)
+	v.checkHeaders(loc.field("headers"), r.Headers)
 	for _, name := range sortedKeys(r.Headers) {
 		if isReservedHeader(name) {
-			v.addProblem(at.field("headers").field(name), strictjson.Quote(name),
+			v.addProblem(loc.field("headers").field(name), strictjson.Quote(name),
 				"a header that is neither hop-by-hop nor reserved for the protocol")
 		}
 	}
 }
 
-func (v *validator) checkCallLimitResource(at location, r *Resource) {
+func (v *validator) checkCallLimitResource(loc location, r *Resource) {
 	if len(r.Headers) != 0 {
-		v.addProblem(at.field("headers"), "an object", "no headers in a resource of kind call-limit")
+		v.addProblem(loc.field("headers"), "an object", "no headers in a resource of kind call-limit")
 	}
 	if r.CallLimit == nil {
-		v.addProblem(at.field("call_limit"), "nothing", "an object with calls_per_second and burst")
+		v.addProblem(loc.field("call_limit"), "nothing", "an object with calls_per_second and burst")
 		return
 	}
-	limit := at.field("call_limit")
+	limit := loc.field("call_limit")
 	v.checkRange(limit.field("calls_per_second"), int64(r.CallLimit.CallsPerSecond), 1, MaxCallsPerSecond)
 	v.checkRange(limit.field("burst"), int64(r.CallLimit.Burst), 1, MaxBurst)
 }
 
-func (v *validator) checkRoute(at location, r *Route, names map[string]bool) {
-	v.checkName(at.field("name"), r.Name, names[r.Name])
+func (v *validator) checkRoute(loc location, r *Route, names map[string]bool) {
+	v.checkName(loc.field("name"), r.Name, names[r.Name])
 	names[r.Name] = true
-	v.checkMatch(at.field("match"), r.Match)
+	v.checkMatch(loc.field("match"), r.Match)
 	switch {
 	case len(r.Split) > 0:
-		v.checkSplit(at, r)
+		v.checkSplit(loc, r)
 	case !v.services[r.Service]:
-		v.addProblem(at.field("service"), strictjson.Quote(r.Service), "a declared service"+v.serviceSuggestions)
+		v.addProblem(loc.field("service"), strictjson.Quote(r.Service), "a declared service"+v.serviceSuggestions)
 	}
 	if !slices.Contains([]Class{ClassIrreversible, ClassLookup, ClassReport}, r.Class) {
-		v.addProblem(at.field("class"), strictjson.Quote(string(r.Class)),
+		v.addProblem(loc.field("class"), strictjson.Quote(string(r.Class)),
 			oneOf(ClassIrreversible, ClassLookup, ClassReport))
 	}
 	if !slices.Contains([]ZonePolicy{"", ZonePreferLocal, ZoneAny}, r.Zone) {
-		v.addProblem(at.field("zone"), strictjson.Quote(string(r.Zone)), oneOf(ZonePreferLocal, ZoneAny)+", or no value")
-	}
-	v.checkRange(at.field("deadline_ms"), int64(r.DeadlineMs), 1, MaxDeadlineMs)
-	v.checkRange(at.field("retry").field("max_attempts"), int64(r.Retry.MaxAttempts), 0, MaxAttempts)
-	v.checkRange(at.field("retry").field("budget_percent"), int64(r.Retry.BudgetPercent), 0, MaxBudgetPercent)
-	v.checkRange(at.field("max_body_bytes"), r.MaxBodyBytes, 0, MaxBodyBytes)
-	v.checkRange(at.field("target_ms"), int64(r.TargetMs), 0, MaxDeadlineMs)
-	v.checkRange(at.field("priority"), int64(r.Priority), 0, MaxPriority)
+		v.addProblem(loc.field("zone"), strictjson.Quote(string(r.Zone)), oneOf(ZonePreferLocal, ZoneAny)+", or no value")
+	}
+	v.checkRange(loc.field("deadline_ms"), int64(r.DeadlineMs), 1, MaxDeadlineMs)
+	v.checkRange(loc.field("retry").field("max_attempts"), int64(r.Retry.MaxAttempts), 0, MaxAttempts)
+	v.checkRange(loc.field("retry").field("budget_percent"), int64(r.Retry.BudgetPercent), 0, MaxBudgetPercent)
+	v.checkRange(loc.field("max_body_bytes"), r.MaxBodyBytes, 0, MaxBodyBytes)
+	v.checkRange(loc.field("target_ms"), int64(r.TargetMs), 0, MaxDeadlineMs)
+	v.checkRange(loc.field("priority"), int64(r.Priority), 0, MaxPriority)
 	if r.Keyless && r.Class != ClassIrreversible {
-		v.addProblem(at.field("keyless"), "true", "only on a route of class irreversible")
+		v.addProblem(loc.field("keyless"), "true", "only on a route of class irreversible")
 	}
-	v.checkRouteResources(at.field("resources"), r.Resources)
+	v.checkRouteResources(loc.field("resources"), r.Resources)
 }
 
-// checkRouteResources checks that the resources exist and that at most one of them sets each header or limits calls.
-func (v *validator) checkRouteResources(at location, names []string) {
+// checkRouteResources checks that the resources of a route exist, that no two of them set the same header and that at
+// most one limits calls.
+func (v *validator) checkRouteResources(loc location, names []string) {
 	if len(names) > MaxResourcesPerRoute {
-		v.addProblem(at, strconv.Itoa(len(names)), fmt.Sprintf("0 to %d resources", MaxResourcesPerRoute))
+		v.addProblem(loc, strconv.Itoa(len(names)), fmt.Sprintf("0 to %d resources", MaxResourcesPerRoute))
 	}
 	setBy := make(map[string]string)
 	limitedBy := ""
@@ -268,98 +272,98 @@
 		resource := v.resources[name]
 		switch {
 		case resource == nil:
-			v.addProblem(at.item(i), quoted, "a declared resource"+v.resourceSuggestions)
+			v.addProblem(loc.item(i), quoted, "a declared resource"+v.resourceSuggestions)
 		case slices.Contains(names[:i], name):
-			v.addProblem(at.item(i), quoted, "each resource once")
+			v.addProblem(loc.item(i), quoted, "each resource once")
 		case resource.Kind == ResourceCallLimit && limitedBy != "":
-			v.addProblem(at.item(i), quoted, "one call limit per route, and "+limitedBy+" is one")
+			v.addProblem(loc.item(i), quoted, "one call limit per route, and "+limitedBy+" is one")
 		case resource.Kind == ResourceCallLimit:
 			limitedBy = name
 		case resource.Kind == ResourceCallerLimits:
-			v.addProblem(at.item(i), quoted, "a resource that is not of kind caller-limits, which holds for all routes")
+			v.addProblem(loc.item(i), quoted, "a resource that is not of kind caller-limits, which applies to all routes")
 		default:
-			v.checkHeaderConflicts(at.item(i), resource, setBy)
+			v.checkHeaderConflicts(loc.item(i), resource, setBy)
 		}
 	}
 }
 
-func (v *validator) checkHeaderConflicts(at location, r *Resource, setBy map[string]string) {
+func (v *validator) checkHeaderConflicts(loc location, r *Resource, setBy map[string]string) {
 	for _, header := range sortedKeys(r.Headers) {
 		key := textproto.CanonicalMIMEHeaderKey(header)
 		if other, ok := setBy[key]; ok && other != r.Name {
-			v.addProblem(at, strictjson.Quote(r.Name), "a resource that does not set "+key+", which "+other+" sets")
+			v.addProblem(loc, strictjson.Quote(r.Name), "a resource that does not set "+key+", which "+other+" sets")
 		}
 		setBy[key] = r.Name
 	}
 }
 
-func (v *validator) checkMatch(at location, m Match) {
+func (v *validator) checkMatch(loc location, m Match) {
 	if m.Host != "" && !validHost(m.Host) {
-		v.addProblem(at.field("host"), strictjson.Quote(m.Host), "a host name without port, or no value")
+		v.addProblem(loc.field("host"), strictjson.Quote(m.Host), "a host name without port, or no value")
 	}
 	if !validPath(m.PathPrefix) {
-		v.addProblem(at.field("path_prefix"), strictjson.Quote(m.PathPrefix),
+		v.addProblem(loc.field("path_prefix"), strictjson.Quote(m.PathPrefix),
 			fmt.Sprintf("/ or a path of at most %d characters such as /a/b, without a / at its end, empty or dot "+
 				"segments, %%, ? or #", MaxPathLength))
 	}
 	for i, method := range m.Methods {
 		switch {
 		case !slices.Contains(methods, method):
-			v.addProblem(at.field("methods").item(i), strictjson.Quote(method), "one of "+strings.Join(methods, ", "))
+			v.addProblem(loc.field("methods").item(i), strictjson.Quote(method), "one of "+strings.Join(methods, ", "))
 		case slices.Contains(m.Methods[:i], method):
-			v.addProblem(at.field("methods").item(i), strictjson.Quote(method), "each method once")
+			v.addProblem(loc.field("methods").item(i), strictjson.Quote(method), "each method once")
 		}
 	}
-	v.checkHeaders(at.field("headers"), m.Headers)
+	v.checkHeaders(loc.field("headers"), m.Headers)
 }
 
-func (v *validator) checkHeaders(at location, headers map[string]string) {
+func (v *validator) checkHeaders(loc location, headers map[string]string) {
 	if len(headers) > MaxHeaders {
-		v.addProblem(at, strconv.Itoa(len(headers)), fmt.Sprintf("0 to %d headers", MaxHeaders))
+		v.addProblem(loc, strconv.Itoa(len(headers)), fmt.Sprintf("0 to %d headers", MaxHeaders))
 	}
 	seen := make(map[string]bool)
 	for _, name := range sortedKeys(headers) {
 		key := textproto.CanonicalMIMEHeaderKey(name)
 		if !validHeaderName(name) {
-			v.addProblem(at, strictjson.Quote(name),
+			v.addProblem(loc, strictjson.Quote(name),
 				fmt.Sprintf("a header name of 1 to %d letters, digits and -", MaxHeaderNameLength))
 		}
 		if seen[key] {
-			v.addProblem(at.field(name), strictjson.Quote(name), "each header once, whatever its case")
+			v.addProblem(loc.field(name), strictjson.Quote(name), "each header once, whatever its case")
 		}
 		seen[key] = true
 		if !validHeaderValue(headers[name]) {
-			v.addProblem(at.field(name), strictjson.Quote(headers[name]),
+			v.addProblem(loc.field(name), strictjson.Quote(headers[name]),
 				fmt.Sprintf("at most %d printable ASCII characters", MaxHeaderValueLength))
 		}
 	}
 }
 
-// checkAmbiguousMatches finds pairs of routes of which neither is more specific although one request can match both.
+// checkAmbiguousMatches reports pairs of equally specific routes that a single request can match.
 func (v *validator) checkAmbiguousMatches() {
 	type path struct{ host, prefix string }
 	groups := make(map[path][]int)
 	matches := make([]Match, 0, len(v.bundle.Routes))
 	for i, route := range v.bundle.Routes {
 		key := path{host: strings.ToLower(route.Match.Host), prefix: route.Match.PathPrefix}
-		first := groups[key]
+		samePath := groups[key]
 		match := route.Match
 		match.Headers = canonicalHeaders(match.Headers)
 		matches = append(matches, match)
-		at := itemLocation("routes", v.origins.routes, i).field("match")
-		if len(first) == MaxRoutesPerPath {
-			v.addProblem(at, strictjson.Quote(route.Match.PathPrefix),
+		loc := itemLocation("routes", v.origins.routes, i).field("match")
+		if len(samePath) == MaxRoutesPerPath {
+			v.addProblem(loc, strictjson.Quote(route.Match.PathPrefix),
 				fmt.Sprintf("at most %d routes with one host and path prefix", MaxRoutesPerPath))
 			continue
 		}
-		for _, j := range first {
+		for _, j := range samePath {
 			if match.Compare(matches[j]) == 0 && match.Overlaps(matches[j]) {
-				v.addProblem(at, "the match of route "+strictjson.Quote(route.Name),
+				v.addProblem(loc, "the match of route "+strictjson.Quote(route.Name),
 					"a match that no request shares with the equally specific route "+
 						strictjson.Quote(v.bundle.Routes[j].Name))
 			}
 		}
-		groups[key] = append(first, i)
+		groups[key] = append(samePath, i)
 	}
 }
 
@@ -430,7 +434,7 @@
 	return "one of " + strings.Join(quoted, ", ")
 }
 
-// suggest formats the first declared names for a problem.
+// formatSuggestions formats the first maxSuggestions declared names for a problem.
 func formatSuggestions(names []string) string {
 	if len(names) == 0 {
 		return " (there is none)"
