--- a/state/bundle/bundle_suite_test.go
+++ b/state/bundle/bundle_suite_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// seed makes every run draw the same cases.
+// seed makes every run execute the specs in the same order; rapid.seed below does the same for generated cases.
 const seed = 20261204
 
 func init() {
--- a/state/bundle/limits.go
+++ b/state/bundle/limits.go
@@ -1,7 +1,7 @@
 package bundle
 
-// Bounds of a bundle. They keep a bundle that an operator mistyped, or that a faulty client sends, from exhausting the
-// memory of every node.
+// Bounds of a bundle. Without them a mistake of an operator or a faulty client could produce a bundle that exhausts the
+// memory of every node. Names that end in Ms are in milliseconds.
 const (
 	MaxServices  = 4096
 	MaxRoutes    = 16384
--- a/state/bundle/load_test.go
+++ b/state/bundle/load_test.go
@@ -14,43 +14,43 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-func write(folder, name, content string) {
+func writeFile(folder, name, content string) {
 	path := filepath.Join(folder, name)
 	Expect(os.MkdirAll(filepath.Dir(path), 0o755)).To(Succeed())
 	Expect(os.WriteFile(path, []byte(content), 0o644)).To(Succeed())
 }
 
 var _ = Describe("Load", func() {
-	It("gives equal digests for equal content in other files, orders and spellings", func() {
-		one, two := GinkgoT().TempDir(), GinkgoT().TempDir()
-		write(one, "a.json", `{"services":[{"name":"rank"},{"name":"ledger"}],"routes":[
+	It("gives equal content the same digest, however it is split into files, ordered and spelled", func() {
+		firstFolder, secondFolder := GinkgoT().TempDir(), GinkgoT().TempDir()
+		writeFile(firstFolder, "a.json", `{"services":[{"name":"rank"},{"name":"ledger"}],"routes":[
 			{"name":"r","service":"rank","class":"lookup","deadline_ms":5,
 			 "match":{"host":"Rank.Example","path_prefix":"/rank","methods":["HEAD","GET"],"headers":{"x-a":"1"}},
 			 "resources":["l","h"]}],"resources":[{"name":"h","kind":"headers","headers":{"x-b":"1"}},
 			{"name":"l","kind":"call-limit","call_limit":{"calls_per_second":1,"burst":1}}]}`)
-		write(two, "z/routes.json", `{"routes":[{"match":{"headers":{"X-A":"1"},"methods":["GET","HEAD"],
+		writeFile(secondFolder, "z/routes.json", `{"routes":[{"match":{"headers":{"X-A":"1"},"methods":["GET","HEAD"],
 			"path_prefix":"/rank","host":"rank.example"},"deadline_ms":5,"class":"lookup","service":"rank","name":"r",
 			"resources":["h","l"]}]}`)
-		write(two, "b.json", `{"services":[{"name":"ledger"}]}`)
-		write(two, "c.json", `{"services":[{"name":"rank"}],"resources":[
+		writeFile(secondFolder, "b.json", `{"services":[{"name":"ledger"}]}`)
+		writeFile(secondFolder, "c.json", `{"services":[{"name":"rank"}],"resources":[
 			{"name":"l","kind":"call-limit","call_limit":{"burst":1,"calls_per_second":1}},
 			{"name":"h","kind":"headers","headers":{"X-B":"1"}}]}`)
-		write(two, "notes.txt", `not JSON`)
-		first, err := bundle.Load(one)
+		writeFile(secondFolder, "notes.txt", `not JSON`)
+		first, err := bundle.Load(firstFolder)
 		Expect(err).NotTo(HaveOccurred())
-		second, err := bundle.Load(two)
+		second, err := bundle.Load(secondFolder)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(split(second).Target).To(Equal(split(first).Target))
+		Expect(fullUpdate(second).Target).To(Equal(fullUpdate(first).Target))
 	})
 
-	It("reports all faults of all files at once, with file, field, value and what is allowed", func() {
+	It("reports all problems of all files at once, with file, field, value and allowed values", func() {
 		folder := GinkgoT().TempDir()
-		write(folder, "a.json", `{"services":[{"name":"rank","slots":3},{"name":"rank"}],"extra":1,"extra":2}`)
-		write(folder, "b/c.json", `{"routes":[
+		writeFile(folder, "a.json", `{"services":[{"name":"rank","slots":3},{"name":"rank"}],"extra":1,"extra":2}`)
+		writeFile(folder, "b/c.json", `{"routes":[
 			{"name":"ok","service":"rank","class":"lookup","deadline_ms":10,"match":{"path_prefix":"/"}},
 			{"name":"r","service":"rang","class":"fast","deadline_ms":0,"match":{"path_prefix":"rank"},
 			 "resources":["limit"],"retry":{"max_attempts":9},"max_body_bytes":"1"}]}`)
-		write(folder, "d.json", "{\n \"routes\": [,]}")
+		writeFile(folder, "d.json", "{\n \"routes\": [,]}")
 		_, err := bundle.Load(folder)
 		Expect(err).To(BeAssignableToTypeOf(bundle.Problems{}))
 		lines := strings.Split(err.Error(), "\n")
@@ -73,7 +73,7 @@
 		}))
 	})
 
-	It("refuses a folder without services, so that a mistyped path never becomes an empty bundle", func() {
+	It("rejects a folder without services, so that a mistyped path does not load as an empty bundle", func() {
 		_, err := bundle.Load(GinkgoT().TempDir())
 		Expect(err).To(MatchError(ContainSubstring("at least one service")))
 	})
@@ -83,7 +83,7 @@
 	route := func(name string, match bundle.Match) bundle.Route {
 		return bundle.Route{Name: name, Service: "rank", Class: bundle.ClassLookup, DeadlineMs: 10, Match: match}
 	}
-	fields := func(b bundle.Bundle) []string {
+	problemFields := func(b bundle.Bundle) []string {
 		b.Services = append(b.Services, bundle.Service{Name: "rank"})
 		var list []string
 		for _, problem := range bundle.Validate(&b) {
@@ -92,9 +92,9 @@
 		return list
 	}
 
-	DescribeTable("finds matches of which neither is more specific, and only those",
+	DescribeTable("reports exactly the overlapping matches of equal precedence",
 		func(a, b bundle.Match, ambiguous bool) {
-			found := fields(bundle.Bundle{Routes: []bundle.Route{route("a", a), route("b", b)}})
+			found := problemFields(bundle.Bundle{Routes: []bundle.Route{route("a", a), route("b", b)}})
 			if ambiguous {
 				Expect(found).To(Equal([]string{"routes[1].match"}))
 			} else {
@@ -102,21 +102,21 @@
 			}
 		},
 		Entry("equal", bundle.Match{PathPrefix: "/a"}, bundle.Match{PathPrefix: "/a"}, true),
-		Entry("equal hosts in another case", bundle.Match{Host: "A.example", PathPrefix: "/a"},
+		Entry("equal hosts in different case", bundle.Match{Host: "A.example", PathPrefix: "/a"},
 			bundle.Match{Host: "a.example", PathPrefix: "/a"}, true),
 		Entry("common method", bundle.Match{PathPrefix: "/a", Methods: []string{"GET", "PUT"}},
 			bundle.Match{PathPrefix: "/a", Methods: []string{"PUT"}}, true),
-		Entry("different headers", bundle.Match{PathPrefix: "/a", Headers: map[string]string{"X": "1"}},
+		Entry("conditions on different headers", bundle.Match{PathPrefix: "/a", Headers: map[string]string{"X": "1"}},
 			bundle.Match{PathPrefix: "/a", Headers: map[string]string{"Y": "1"}}, true),
-		Entry("other method", bundle.Match{PathPrefix: "/a", Methods: []string{"GET"}},
+		Entry("disjoint methods", bundle.Match{PathPrefix: "/a", Methods: []string{"GET"}},
 			bundle.Match{PathPrefix: "/a", Methods: []string{"PUT"}}, false),
-		Entry("other value of one header", bundle.Match{PathPrefix: "/a", Headers: map[string]string{"X": "1"}},
+		Entry("different values of one header", bundle.Match{PathPrefix: "/a", Headers: map[string]string{"X": "1"}},
 			bundle.Match{PathPrefix: "/a", Headers: map[string]string{"x": "2"}}, false),
 		Entry("longer path", bundle.Match{PathPrefix: "/a"}, bundle.Match{PathPrefix: "/a/b"}, false),
-		Entry("one with a host", bundle.Match{PathPrefix: "/a"}, bundle.Match{Host: "h", PathPrefix: "/a"}, false),
+		Entry("a host in one match only", bundle.Match{PathPrefix: "/a"}, bundle.Match{Host: "h", PathPrefix: "/a"}, false),
 	)
 
-	It("refuses numbers outside their bounds and resources that contradict each other", func() {
+	It("rejects numbers out of bounds and conflicting resources", func() {
 		b := bundle.Bundle{
 			Services: []bundle.Service{{Name: "s", MaxConcurrency: -1, QueueLimit: 1 << 40, SlowStartMs: -1}},
 			Resources: []bundle.Resource{
@@ -129,7 +129,7 @@
 				MaxBodyBytes: -1, Zone: "far", Retry: bundle.Retry{BudgetPercent: 101},
 				Match: bundle.Match{PathPrefix: "/a/", Methods: []string{"get"}}, Resources: []string{"h1", "h2", "l1", "l2"}}},
 		}
-		Expect(fields(b)).To(Equal([]string{
+		Expect(problemFields(b)).To(Equal([]string{
 			"services[0].max_concurrency", "services[0].queue_limit", "services[0].slow_start_ms",
 			"resources[0].headers.Sapphire-Depth", "resources[1].headers.x-a", "resources[2].call_limit.calls_per_second",
 			"resources[3].call_limit", "routes[0].match.path_prefix", "routes[0].match.methods[0]", "routes[0].zone",
@@ -140,7 +140,7 @@
 })
 
 var _ = Describe("Match", func() {
-	It("matches whole path segments, so that one route never takes the calls of a longer name", func() {
+	It("matches whole path segments, so that /rank does not match /ranking", func() {
 		match := bundle.Match{PathPrefix: "/rank", Host: "a.example", Headers: map[string]string{"X": "1"}}
 		header := func(string) string { return "1" }
 		Expect(match.Matches("A.example", "GET", "/rank/7", header)).To(BeTrue())
@@ -151,7 +151,7 @@
 })
 
 var _ = Describe("Changes", func() {
-	It("shows what an operator is about to approve, field by field", func() {
+	It("lists the changed fields of each part", func() {
 		from, to := exampleBundle(100), exampleBundle(200)
 		to.Services = to.Services[1:]
 		to.Resources = []bundle.Resource{{Name: "h", Kind: bundle.ResourceHeaders, Headers: map[string]string{"X": "1"}}}
@@ -171,15 +171,15 @@
 	key := ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 	public := key.Public().(ed25519.PublicKey)
 	other := ed25519.NewKeyFromSeed(bytes.Repeat([]byte{1}, ed25519.SeedSize)).Public().(ed25519.PublicKey)
-	ring := bundle.NewKeyring(map[string][]ed25519.PublicKey{"ana": {other, public}, "ben": {other}})
+	keyring := bundle.NewKeyring(map[string][]ed25519.PublicKey{"ana": {other, public}, "ben": {other}})
 	signed := bundle.Sign(key, bundle.Approval{Version: 3, Digest: bundle.Digest{1}, Operator: "ana", Replaces: 2})
 
-	DescribeTable("refuses an approval that was altered after it was signed",
+	DescribeTable("rejects an approval that was altered after it was signed",
 		func(alter func(a *bundle.Approval), want error) {
 			altered := signed
 			alter(&altered)
-			Expect(ring.Verify(signed)).To(Succeed())
-			Expect(ring.Verify(altered)).To(MatchError(want))
+			Expect(keyring.Verify(signed)).To(Succeed())
+			Expect(keyring.Verify(altered)).To(MatchError(want))
 		},
 		Entry("version", func(a *bundle.Approval) { a.Version++ }, bundle.ErrBadSignature),
 		Entry("digest", func(a *bundle.Approval) { a.Digest[0]++ }, bundle.ErrBadSignature),
@@ -189,13 +189,13 @@
 		Entry("no signature", func(a *bundle.Approval) { a.Signature = nil }, bundle.ErrBadSignature),
 	)
 
-	It("accepts a signature only for its own purpose", func() {
+	It("accepts a signature only for the purpose it was made for", func() {
 		signature := bundle.SignMessage(key, "one", []byte("m"))
-		Expect(ring.VerifyMessage("ana", "one", []byte("m"), signature)).To(Succeed())
-		Expect(ring.VerifyMessage("ana", "two", []byte("m"), signature)).To(MatchError(bundle.ErrBadSignature))
+		Expect(keyring.VerifyMessage("ana", "one", []byte("m"), signature)).To(Succeed())
+		Expect(keyring.VerifyMessage("ana", "two", []byte("m"), signature)).To(MatchError(bundle.ErrBadSignature))
 	})
 
-	It("loads what was generated, and refuses a private key that others can read", func() {
+	It("loads the key files that it saves, and rejects a private key that other users can read", func() {
 		private := filepath.Join(GinkgoT().TempDir(), "ana.key")
 		generated := bundle.PrivateKey{Operator: "ana", Key: key}
 		Expect(generated.Save(private)).To(Succeed())
@@ -212,7 +212,7 @@
 })
 
 var _ = Describe("Bundle format page", func() {
-	It("documents every field, so that the page does not fall behind", func() {
+	It("documents every field", func() {
 		data, err := os.ReadFile("../../docs/bundle-format.md")
 		Expect(err).NotTo(HaveOccurred())
 		visit := func(t reflect.Type, prefix string) {
@@ -233,7 +233,7 @@
 		}
 	})
 
-	DescribeTable("ships examples that load and have routes of every class",
+	DescribeTable("has examples that load and contain routes of every class",
 		func(name string, services ...string) {
 			b, err := bundle.Load("../../examples/" + name)
 			Expect(err).NotTo(HaveOccurred())
--- a/state/bundle/manifest.go
+++ b/state/bundle/manifest.go
@@ -41,18 +41,18 @@
 
 // Diff returns the delta between two manifests.
 func Diff(from, to Manifest) Delta {
-	held := make(map[PartID]Digest, len(from.Entries))
+	previous := make(map[PartID]Digest, len(from.Entries))
 	for _, entry := range from.Entries {
-		held[entry.ID] = entry.Digest
+		previous[entry.ID] = entry.Digest
 	}
 	var delta Delta
 	for _, entry := range to.Entries {
-		if digest, ok := held[entry.ID]; !ok || digest != entry.Digest {
+		if digest, ok := previous[entry.ID]; !ok || digest != entry.Digest {
 			delta.Set = append(delta.Set, entry)
 		}
-		delete(held, entry.ID)
+		delete(previous, entry.ID)
 	}
-	for id := range held {
+	for id := range previous {
 		delta.Removed = append(delta.Removed, id)
 	}
 	slices.SortFunc(delta.Removed, PartID.Compare)
--- a/state/bundle/part.go
+++ b/state/bundle/part.go
@@ -228,11 +228,11 @@
 	if name(&value) != id.Name {
 		return errors.Wrapf(ErrNotCanonical, "part is named %q, its manifest lists it as %q", name(&value), id.Name)
 	}
-	again, err := canonicalMode.Marshal(value)
+	reencoded, err := canonicalMode.Marshal(value)
 	if err != nil {
 		return errors.Wrap(err, "bundle: encode part")
 	}
-	if !bytes.Equal(again, data) {
+	if !bytes.Equal(reencoded, data) {
 		return errors.Wrapf(ErrNotCanonical, "%s", id.Name)
 	}
 	*list = append(*list, value)
--- a/state/bundle/property_test.go
+++ b/state/bundle/property_test.go
@@ -10,7 +10,7 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// drawManifest draws from few names and digests, so that two manifests share entries.
+// drawManifest draws a manifest from a small set of names and digests, so that two manifests often share entries.
 func drawManifest(t *rapid.T, label string) bundle.Manifest {
 	names := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), 0, 5, rapid.ID).
 		Draw(t, label)
@@ -23,7 +23,8 @@
 	return manifest
 }
 
-// Guards against a delta that leads elsewhere, and against one that is accepted on the wrong base.
+// Guards against a delta that does not produce the target manifest, and against one that is accepted on a wrong base
+// although the result is not the target.
 func TestDiffApplyProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -40,8 +41,8 @@
 	})
 }
 
-// Guards against files that are accepted in one form and cannot be distributed in it: an accepted bundle keeps its
-// digest through canonical form, parts and JSON.
+// Guards against bundles that pass validation but cannot be distributed. The digest of a valid bundle must be the same
+// after the bundle was split into parts, assembled, formatted as JSON and parsed again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"services":[{"name":"a"}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -61,15 +62,16 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		text, err := bundle.Format(assembled)
 		g.Expect(err).NotTo(HaveOccurred())
-		again, problems := bundle.Parse("again.json", text)
-		g.Expect(append(problems, bundle.Validate(again)...)).To(BeEmpty())
-		_, second, err := bundle.Split(again)
+		reparsed, problems := bundle.Parse("reparsed.json", text)
+		g.Expect(append(problems, bundle.Validate(reparsed)...)).To(BeEmpty())
+		_, second, err := bundle.Split(reparsed)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(second.Digest()).To(Equal(manifest.Digest()), "digest changed through JSON: %s", text)
 	})
 }
 
-// Guards against a part that decodes although it is not the one encoding of its value, and against decoder panics.
+// Guards against a part that is accepted although it is not the canonical encoding of its value, and against panics of
+// the decoder.
 func FuzzPart(f *testing.F) {
 	f.Add(byte(bundle.KindService), "a", []byte{0xa1, 0x01, 0x61, 'a'})
 	f.Fuzz(func(t *testing.T, kind byte, name string, data []byte) {
@@ -82,9 +84,9 @@
 			return
 		}
 		bundle.Validate(b)
-		_, again, err := bundle.Split(b)
-		if err != nil || again.Digest() != manifest.Digest() {
-			t.Fatalf("part %x of %q decodes but encodes to %v (%v)", data, name, again, err)
+		_, reencoded, err := bundle.Split(b)
+		if err != nil || reencoded.Digest() != manifest.Digest() {
+			t.Fatalf("part %x of %q decodes but encodes to %v (%v)", data, name, reencoded, err)
 		}
 	})
 }
--- a/state/bundle/store.go
+++ b/state/bundle/store.go
@@ -131,15 +131,15 @@
 		base = Digest{}
 	}
 	update := Update{Base: base, Target: target, Delta: Diff(from, to)}
-	held := make(map[Digest]bool, len(from.Entries))
+	available := make(map[Digest]bool, len(from.Entries))
 	for _, entry := range from.Entries {
-		held[entry.Digest] = true
+		available[entry.Digest] = true
 	}
 	for _, entry := range update.Delta.Set {
-		if held[entry.Digest] {
+		if available[entry.Digest] {
 			continue
 		}
-		held[entry.Digest] = true
+		available[entry.Digest] = true
 		update.Parts = append(update.Parts, Part{Digest: entry.Digest, Data: s.parts[entry.Digest].data})
 	}
 	return update, nil
--- a/state/bundle/store_test.go
+++ b/state/bundle/store_test.go
@@ -17,16 +17,16 @@
 	}
 }
 
-func split(b *bundle.Bundle) bundle.Update {
+func fullUpdate(b *bundle.Bundle) bundle.Update {
 	parts, manifest, err := bundle.Split(b)
 	Expect(err).NotTo(HaveOccurred())
 	return bundle.Update{Target: manifest.Digest(), Delta: bundle.Diff(bundle.Manifest{}, manifest), Parts: parts}
 }
 
 var _ = Describe("Store", func() {
-	It("sends only the changed part when one route changes", func() {
+	It("includes only the changed part when one route changes", func() {
 		store := bundle.NewStore()
-		first, second := split(exampleBundle(100)), split(exampleBundle(200))
+		first, second := fullUpdate(exampleBundle(100)), fullUpdate(exampleBundle(200))
 		Expect(store.Add(first)).To(Succeed())
 		Expect(store.Add(second)).To(Succeed())
 		update, err := store.Update(first.Target, second.Target)
@@ -39,17 +39,17 @@
 		Expect(other.Bundle(second.Target)).To(Equal(exampleBundle(200)))
 	})
 
-	It("keeps nothing of an update with a corrupt part", func() {
+	It("stores nothing of an update with a corrupt part", func() {
 		store := bundle.NewStore()
-		update := split(exampleBundle(100))
+		update := fullUpdate(exampleBundle(100))
 		update.Parts[0].Data[0] ^= 1
 		Expect(store.Add(update)).To(MatchError(bundle.ErrCorruptPart))
 		Expect(store.Holds(update.Target)).To(BeFalse())
 	})
 
-	It("refuses a delta whose base it does not hold", func() {
+	It("rejects an update whose base it does not have", func() {
 		store := bundle.NewStore()
-		first, second := split(exampleBundle(100)), split(exampleBundle(200))
+		first, second := fullUpdate(exampleBundle(100)), fullUpdate(exampleBundle(200))
 		Expect(store.Add(first)).To(Succeed())
 		Expect(store.Add(second)).To(Succeed())
 		update, err := store.Update(first.Target, second.Target)
@@ -57,9 +57,9 @@
 		Expect(bundle.NewStore().Add(update)).To(MatchError(bundle.ErrMissingPart))
 	})
 
-	It("drops parts that no retained bundle uses", func() {
+	It("drops bundles that are not retained and keeps the parts of the retained one", func() {
 		store := bundle.NewStore()
-		first, second := split(exampleBundle(100)), split(exampleBundle(200))
+		first, second := fullUpdate(exampleBundle(100)), fullUpdate(exampleBundle(200))
 		Expect(store.Add(first)).To(Succeed())
 		Expect(store.Add(second)).To(Succeed())
 		store.Retain(second.Target)
--- a/state/bundle/update_test.go
+++ b/state/bundle/update_test.go
@@ -10,8 +10,8 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// encodedForm is the update as logs of earlier releases hold it.
-type encodedForm struct {
+// legacyUpdate has the encoding of an update in the logs of earlier releases.
+type legacyUpdate struct {
 	Base   bundle.Digest `cbor:"1,keyasint"`
 	Target bundle.Digest `cbor:"2,keyasint"`
 	Delta  bundle.Delta  `cbor:"3,keyasint"`
@@ -20,7 +20,7 @@
 
 var _ = Describe("Update", func() {
 	var store *bundle.Store
-	routes := func(count int) bundle.Digest {
+	addBundle := func(count int) bundle.Digest {
 		b := &bundle.Bundle{Services: []bundle.Service{{Name: "desk"}}}
 		for i := range count {
 			b.Routes = append(b.Routes, bundle.Route{
@@ -43,10 +43,10 @@
 	}
 	BeforeEach(func() { store = bundle.NewStore() })
 
-	// Guards against bytes that no compression removes: a digest of 32 bytes for each route made two thirds of a bundle of a
-	// thousand routes, which took 0.3 s on a link of 1.4 Mbit/s.
-	It("carries no digest of a part that it contains", func() {
-		target := routes(50)
+	// Guards against sending digests that the receiver can compute. They cannot be compressed: with 32 bytes for each
+	// route they were two thirds of a bundle of 1000 routes, which took 0.3 s on a link of 1.4 Mbit/s.
+	It("omits the digests of the parts that it contains", func() {
+		target := addBundle(50)
 		update, err := store.Update(bundle.Digest{}, target)
 		Expect(err).NotTo(HaveOccurred())
 		data := encode(update)
@@ -58,15 +58,15 @@
 		Expect(decoded).To(Equal(update))
 	})
 
-	It("keeps a change to a bundle that is held", func() {
-		base, target := routes(50), routes(40)
+	It("decodes to an equal update if the receiver already has the base or the parts", func() {
+		base, target := addBundle(50), addBundle(40)
 		update, err := store.Update(base, target)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(update.Delta.Removed).To(HaveLen(10))
 		var decoded bundle.Update
 		Expect(cbor.Unmarshal(encode(update), &decoded)).To(Succeed())
 		Expect(decoded).To(Equal(update))
-		// The parts that the receiver has are named by their digests.
+		// An entry whose part is not included refers to it by its digest.
 		update.Parts = nil
 		update.Delta = bundle.Diff(bundle.Manifest{}, mustManifest(store, target))
 		decoded = bundle.Update{}
@@ -74,20 +74,20 @@
 		Expect(decoded).To(Equal(update))
 	})
 
-	It("reads the logs of earlier releases", func() {
-		update, err := store.Update(bundle.Digest{}, routes(3))
+	It("decodes updates from logs of earlier releases", func() {
+		update, err := store.Update(bundle.Digest{}, addBundle(3))
 		Expect(err).NotTo(HaveOccurred())
-		old := encode(encodedForm{update.Base, update.Target, update.Delta, update.Parts})
+		old := encode(legacyUpdate{update.Base, update.Target, update.Delta, update.Parts})
 		var decoded bundle.Update
 		Expect(cbor.Unmarshal(old, &decoded)).To(Succeed())
 		Expect(decoded).To(Equal(update))
 	})
 
-	It("refuses an entry that names a part which is not there", func() {
-		for _, place := range []int{-1, 2} {
+	It("rejects an entry whose content number is out of range", func() {
+		for _, contentNumber := range []int{-1, 2} {
 			data := encode(map[int]any{
 				1: make([]byte, 32), 2: make([]byte, 32), 7: [][]byte{{1}},
-				5: []any{map[int]any{1: map[int]any{1: 2, 2: "route"}, 2: place}},
+				5: []any{map[int]any{1: map[int]any{1: 2, 2: "route"}, 2: contentNumber}},
 			})
 			Expect(cbor.Unmarshal(data, new(bundle.Update))).To(MatchError(bundle.ErrMissingPart))
 		}
--- a/state/bundle/validate.go
+++ b/state/bundle/validate.go
@@ -32,8 +32,8 @@
 	index int
 }
 
-// origins holds the origins of the items of a bundle, in the order of the bundle's lists. The lists are nil if the bundle
-// was not loaded from files.
+// origins holds the origins of the items of a bundle, in the order of the bundle's lists. The lists are nil if the
+// bundle was not loaded from files.
 type origins struct {
 	services, routes, resources []origin
 }
@@ -43,8 +43,8 @@
 	file, path string
 }
 
-// itemLocation returns the location of item i of a list of the bundle. If the bundle was loaded from files, the index in
-// the path counts within the file of the item.
+// itemLocation returns the location of item i of a list of the bundle. If the bundle was loaded from files, the index
+// in the path counts within the file of the item.
 func itemLocation(list string, from []origin, i int) location {
 	if from == nil {
 		return location{path: fmt.Sprintf("%s[%d]", list, i)}
--- a/state/bundle/hostile_test.go
+++ b/state/bundle/validate_bench_test.go
@@ -7,8 +7,9 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// BenchmarkValidateHostile measures the greatest bundle whose faults cost most to find: all routes dangle, and the
-// routes of each path have equal precedence.
+// BenchmarkValidateHostile measures the validation of a worst-case bundle: it has the maximum size, every route refers
+// to a service that does not exist, and the routes of each path have equal precedence, so that all pairs of them are
+// compared.
 func BenchmarkValidateHostile(b *testing.B) {
 	hostile := &bundle.Bundle{}
 	for i := range bundle.MaxServices {
