--- a/state/bundle/load_test.go
+++ b/state/bundle/load_test.go
@@ -151,7 +151,7 @@
 })
 
 var _ = Describe("Changes", func() {
-	It("lists the changed fields of each part", func() {
+	It("lists the changed fields of each part, for the operator who reviews a bundle", func() {
 		from, to := exampleBundle(100), exampleBundle(200)
 		to.Services = to.Services[1:]
 		to.Resources = []bundle.Resource{{Name: "h", Kind: bundle.ResourceHeaders, Headers: map[string]string{"X": "1"}}}
@@ -212,7 +212,7 @@
 })
 
 var _ = Describe("Bundle format page", func() {
-	It("documents every field", func() {
+	It("documents every field, so that the page stays up to date", func() {
 		data, err := os.ReadFile("../../docs/bundle-format.md")
 		Expect(err).NotTo(HaveOccurred())
 		visit := func(t reflect.Type, prefix string) {
--- a/state/bundle/property_test.go
+++ b/state/bundle/property_test.go
@@ -62,7 +62,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		text, err := bundle.Format(assembled)
 		g.Expect(err).NotTo(HaveOccurred())
-		reparsed, problems := bundle.Parse("reparsed.json", text)
+		reparsed, problems := bundle.Parse("again.json", text)
 		g.Expect(append(problems, bundle.Validate(reparsed)...)).To(BeEmpty())
 		_, second, err := bundle.Split(reparsed)
 		g.Expect(err).NotTo(HaveOccurred())
