--- a/experiment/judge.go
+++ b/experiment/judge.go
@@ -53,8 +53,8 @@
 func (j *judge) checkAnswers() {
 	for _, call := range j.calls {
 		for _, attempt := range call.Attempts {
-			if attempt.Wrong != "" {
-				j.violations.add(invariant.WrongAnswer, attempt.ID+": "+attempt.Wrong)
+			if attempt.WrongResponse != "" {
+				j.violations.add(invariant.WrongAnswer, attempt.ID+": "+attempt.WrongResponse)
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 // cutAtIngress counts only requests that the node had surely received when its stop began, because a run had begun or
 // the request was sent long before: a request that crosses the close of an idle connection was never in flight.
 func (j *judge) cutAtIngress(a load.Attempt) bool {
-	if a.Outcome != load.Lost || !a.Broken {
+	if a.Outcome != load.Lost || !a.ConnectionBroken {
 		return false
 	}
 	stop, stopped := j.faults.stopDuring(a.Node, a.Start, a.End)
@@ -124,7 +124,7 @@
 		return false
 	}
 	ran := slices.ContainsFunc(j.byAttempt[a.ID], func(run standin.Run) bool { return run.Start.Before(stop.from) })
-	return ran || !a.Sent.IsZero() && stop.from.Sub(a.Sent) > receiveMargin
+	return ran || !a.SentAt.IsZero() && stop.from.Sub(a.SentAt) > receiveMargin
 }
 
 // cutAtExecutor leaves out runs that were cancelled because the caller went away or the deadline passed, and hedges: when
--- a/experiment/load/arrivals.go
+++ b/experiment/load/arrivals.go
@@ -35,7 +35,7 @@
 
 // newArrivals has one generator per stream, so that the rate of one stream does not change the others.
 func newArrivals(o Options) *arrivals {
-	a := &arrivals{leave: o.LeaveRate}
+	a := &arrivals{leave: o.CancelRate}
 	var end time.Duration
 	for _, phase := range o.Phases {
 		end += phase.Duration
--- a/experiment/load/generator.go
+++ b/experiment/load/generator.go
@@ -131,7 +131,7 @@
 	call.End = time.Now()
 	call.Outcome = finalOutcome(call.Attempts)
 	noAnswer := call.Outcome == Lost || call.Outcome == Refused
-	call.Left = a.left > 0 && noAnswer && time.Since(call.Start) < call.Deadline
+	call.Cancelled = a.left > 0 && noAnswer && time.Since(call.Start) < call.Deadline
 	g.count(call)
 }
 
@@ -181,7 +181,7 @@
 // Progress returns the current counts.
 func (g *Generator) Progress() Progress {
 	return Progress{
-		Offered: g.offered.Load(), Ended: g.ended.Load(), Whole: g.whole.Load(),
+		Offered: g.offered.Load(), Ended: g.ended.Load(), Succeeded: g.whole.Load(),
 		NotRun: g.notRun.Load(), Unknown: g.unknown.Load(),
 	}
 }
@@ -212,8 +212,8 @@
 	switch {
 	case call.Route.Class == bundle.ClassReport:
 		return call.Deadline + lateSlack
-	case g.options.Patience > 0:
-		return g.options.Patience
+	case g.options.AttemptTimeout > 0:
+		return g.options.AttemptTimeout
 	default:
 		return call.Deadline / 2
 	}
--- a/experiment/load/load.go
+++ b/experiment/load/load.go
@@ -41,11 +41,11 @@
 	Deadlines map[bundle.Class]time.Duration
 	// RoundTrip is the time on the wire between callers and nodes; the deadline that callers send is shorter by it.
 	RoundTrip time.Duration
-	// LeaveRate is the share of callers that leave before the answer.
-	LeaveRate float64
-	// Patience is the time after which a caller takes an answer for lost and sends again to another node; 0 takes
+	// CancelRate is the share of callers that leave before the answer.
+	CancelRate float64
+	// AttemptTimeout is the time after which a caller takes an answer for lost and sends again to another node; 0 takes
 	// half of the deadline.
-	Patience time.Duration
+	AttemptTimeout time.Duration
 	// MaxSends bounds how often a call is sent; 0 takes defaultSends.
 	MaxSends int
 	// CrashRate and NestRate are additional lookups per second that crash their upstream, or nest to NestDepth.
@@ -75,21 +75,21 @@
 	ID         string
 	Node       string
 	Start, End time.Time
-	// Sent is when the request was written to the connection, or zero.
-	Sent    time.Time
+	// SentAt is when the request was written to the connection, or zero.
+	SentAt  time.Time
 	Outcome Outcome
 	Status  int
 	// Receipt identifies the run that the answer claims.
 	Receipt string
-	// Wrong describes a complete answer that was altered or belongs to another request.
-	Wrong string
+	// WrongResponse describes a complete answer that was altered or belongs to another request.
+	WrongResponse string
 	// Error is the error of the HTTP client, if there was one.
 	Error string
-	// Broken reports that the connection ended under the attempt, and not the caller's patience.
-	Broken bool
+	// ConnectionBroken reports that the connection ended under the attempt, and not the caller's patience.
+	ConnectionBroken bool
 	// Replayed reports that the HTTP client sent the request twice; an outcome then covers only one of the sends.
-	Replayed bool
-	Added    time.Duration
+	Replayed  bool
+	AddedTime time.Duration
 }
 
 // Call is one call with all its sends.
@@ -101,19 +101,19 @@
 	Deadline time.Duration
 	Attempts []Attempt
 	Outcome  Outcome
-	// Left reports that the caller went away before the answer.
-	Left bool
+	// Cancelled reports that the caller went away before the answer.
+	Cancelled bool
 	// Special marks the calls that crash or nest; they are not part of the goodput.
 	Special bool
 }
 
-// Whole reports whether the caller received its complete and correct response.
-func (c *Call) Whole() bool { return c.Outcome == Done }
+// Succeeded reports whether the caller received its complete and correct response.
+func (c *Call) Succeeded() bool { return c.Outcome == Done }
 
-// InTime reports whether the whole response came within the deadline.
-func (c *Call) InTime() bool { return c.Whole() && c.End.Sub(c.Start) <= c.Deadline }
+// MetDeadline reports whether the whole response came within the deadline.
+func (c *Call) MetDeadline() bool { return c.Succeeded() && c.End.Sub(c.Start) <= c.Deadline }
 
 // Progress counts calls while the load runs.
 type Progress struct {
-	Offered, Ended, Whole, NotRun, Unknown int64
+	Offered, Ended, Succeeded, NotRun, Unknown int64
 }
--- a/experiment/load/load_test.go
+++ b/experiment/load/load_test.go
@@ -42,7 +42,7 @@
 }
 
 var _ = ginkgo.Describe("arrivals", func() {
-	options := Options{Seed: 7, LeaveRate: 0.1, Phases: []Phase{
+	options := Options{Seed: 7, CancelRate: 0.1, Phases: []Phase{
 		{Duration: 10 * time.Second, Rates: Rates{lookups: 1000, reports: 100}},
 		{Duration: 10 * time.Second, Rates: Rates{lookups: 2000, reports: 100}},
 	}}
--- a/experiment/load/send.go
+++ b/experiment/load/send.go
@@ -54,7 +54,7 @@
 	attempt.End = time.Now()
 	attempt.Replayed = connections.Load() > 1
 	if at := sent.Load(); at != nil {
-		attempt.Sent = *at
+		attempt.SentAt = *at
 	}
 	return attempt
 }
@@ -82,7 +82,7 @@
 		return
 	}
 	a.Outcome = Lost
-	a.Broken = ctx.Err() == nil
+	a.ConnectionBroken = ctx.Err() == nil
 }
 
 // judge reads a response and checks it.
@@ -95,7 +95,7 @@
 		return
 	}
 	if micros, err := strconv.ParseInt(response.Header.Get(standin.HeaderAddedTime), 10, 64); err == nil {
-		a.Added = time.Duration(micros) * time.Microsecond
+		a.AddedTime = time.Duration(micros) * time.Microsecond
 	}
 	a.Outcome = outcomeOf(response)
 	if a.Outcome != Done {
@@ -104,7 +104,7 @@
 	answer, err := standin.CheckResponse(response.Header, body, call.Request)
 	if err != nil {
 		a.Outcome = Failed
-		a.Wrong = err.Error()
+		a.WrongResponse = err.Error()
 		return
 	}
 	a.Receipt = answer.Receipt
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -158,10 +158,10 @@
 func addedLatency(calls []*load.Call) AddedLatency {
 	h := newHistogram()
 	for _, call := range calls {
-		if call.Special || call.Route.Class == bundle.ClassIrreversible || !call.Whole() {
+		if call.Special || call.Route.Class == bundle.ClassIrreversible || !call.Succeeded() {
 			continue
 		}
-		record(h, call.Attempts[len(call.Attempts)-1].Added)
+		record(h, call.Attempts[len(call.Attempts)-1].AddedTime)
 	}
 	return AddedLatency{P50: quantile(h, 50), P99: quantile(h, 99)}
 }
@@ -182,7 +182,7 @@
 
 func (r *Report) countCalls(calls []*load.Call) {
 	for _, call := range calls {
-		if call.Left {
+		if call.Cancelled {
 			continue
 		}
 		counts := r.Calls.of(call.Route.Class)
@@ -207,11 +207,11 @@
 	}
 	var offered, inTime ByClass[float64]
 	for _, call := range calls {
-		if call.Left || call.Special {
+		if call.Cancelled || call.Special {
 			continue
 		}
 		*offered.of(call.Route.Class)++
-		if call.InTime() {
+		if call.MetDeadline() {
 			*inTime.of(call.Route.Class)++
 		}
 	}
@@ -243,7 +243,7 @@
 	end := calls[0].Start.Add(duration)
 	useful := make(map[string]bool)
 	for _, call := range calls {
-		if call.InTime() && !call.Left && !call.Special {
+		if call.MetDeadline() && !call.Cancelled && !call.Special {
 			useful[call.Attempts[len(call.Attempts)-1].Receipt] = true
 		}
 	}
--- a/experiment/runner.go
+++ b/experiment/runner.go
@@ -348,7 +348,7 @@
 		Path:      func(route load.Route) string { return RoutePath(route.Service, route.Class) },
 		Deadlines: r.profile.Deadlines,
 		RoundTrip: 2 * r.profile.CallerDelay,
-		LeaveRate: r.scenario.leave, Patience: r.scenario.patience, MaxSends: r.scenario.sends,
+		CancelRate: r.scenario.leave, AttemptTimeout: r.scenario.patience, MaxSends: r.scenario.sends,
 		CrashRate: r.scenario.crashRate, NestRate: r.scenario.nestRate, NestDepth: nestDepth,
 	}
 	for _, phase := range r.scenario.phases {
--- a/experiment/slope/fit.go
+++ b/experiment/slope/fit.go
@@ -25,8 +25,8 @@
 		{"goroutines", "", func(p Point) float64 { return p.Goroutines }},
 		{"rollout-cpu", "ms", func(p Point) float64 { return p.RolloutCPU }},
 		{"rollout-bytes", "B", func(p Point) float64 { return p.RolloutBytes }},
-		{"announcement-cpu", "ms", func(p Point) float64 { return p.AnnounceCPU }},
-		{"announcement-bytes", "B", func(p Point) float64 { return p.AnnounceBytes }},
+		{"announcement-cpu", "ms", func(p Point) float64 { return p.AnnouncementCPU }},
+		{"announcement-bytes", "B", func(p Point) float64 { return p.AnnouncementBytes }},
 		{"convergence-p99", "ms", func(p Point) float64 { return p.ConvergenceMs.P99 }},
 	}
 }
--- a/experiment/slope/slope.go
+++ b/experiment/slope/slope.go
@@ -52,16 +52,16 @@
 	// RolloutCPU and RolloutBytes are what one version costs beyond the idle fleet.
 	RolloutCPU   float64 `json:"rollout_cpu_ms"`
 	RolloutBytes float64 `json:"rollout_control_bytes"`
-	// AnnounceCPU and AnnounceBytes are what one changed announcement costs beyond the idle fleet.
-	AnnounceCPU   float64 `json:"announcement_cpu_ms"`
-	AnnounceBytes float64 `json:"announcement_control_bytes"`
-	ConvergenceMs Spread  `json:"convergence_ms"`
+	// AnnouncementCPU and AnnounceBytes are what one changed announcement costs beyond the idle fleet.
+	AnnouncementCPU   float64      `json:"announcement_cpu_ms"`
+	AnnouncementBytes float64      `json:"announcement_control_bytes"`
+	ConvergenceMs     Distribution `json:"convergence_ms"`
 	// ProfileName tells the emulated deployment.
 	ProfileName string `json:"profile"`
 }
 
-// Spread is a distribution.
-type Spread struct {
+// Distribution is a distribution.
+type Distribution struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
@@ -298,7 +298,7 @@
 		point.RolloutCPU = cost.cpu / float64(f.config.Rollouts)
 		point.RolloutBytes = cost.bytes / float64(f.config.Rollouts)
 	}
-	point.ConvergenceMs = Spread{
+	point.ConvergenceMs = Distribution{
 		P50: float64(times.ValueAtQuantile(50)) / 1000, P99: float64(times.ValueAtQuantile(99)) / 1000,
 		Max: float64(times.Max()) / 1000,
 	}
@@ -344,8 +344,8 @@
 	sleep(ctx, spreadTime)
 	cost := f.beyondIdle(before, point)
 	if f.config.Announcements > 0 {
-		point.AnnounceCPU = cost.cpu / float64(f.config.Announcements)
-		point.AnnounceBytes = cost.bytes / float64(f.config.Announcements)
+		point.AnnouncementCPU = cost.cpu / float64(f.config.Announcements)
+		point.AnnouncementBytes = cost.bytes / float64(f.config.Announcements)
 	}
 	return nil
 }
@@ -379,5 +379,5 @@
 func (p Point) String() string {
 	return fmt.Sprintf("%5d nodes: idle %.1f ms/s cpu, %.0f B/s; %.1f MB; rollout %.2f ms cpu, %.0f B, p99 %.1f ms; "+
 		"announcement %.3f ms cpu, %.0f B", p.Nodes, p.IdleCPU, p.IdleBytes, p.HeapBytes/1e6, p.RolloutCPU, p.RolloutBytes,
-		p.ConvergenceMs.P99, p.AnnounceCPU, p.AnnounceBytes)
+		p.ConvergenceMs.P99, p.AnnouncementCPU, p.AnnouncementBytes)
 }
--- a/experiment/table.go
+++ b/experiment/table.go
@@ -10,7 +10,7 @@
 // showProgressLine overwrites one line of a terminal.
 func showProgressLine(w io.Writer, p Progress) {
 	fmt.Fprintf(w, "\r\x1b[K%5.1fs/%v  offered %d  ended %d  whole %d  not-run %d  unknown %d  violations %d  %s",
-		p.Elapsed.Seconds(), p.Duration.Round(time.Second/10), p.Load.Offered, p.Load.Ended, p.Load.Whole,
+		p.Elapsed.Seconds(), p.Duration.Round(time.Second/10), p.Load.Offered, p.Load.Ended, p.Load.Succeeded,
 		p.Load.NotRun, p.Load.Unknown, p.Violations, p.Step)
 }
 
