--- a/experiment/runner.go
+++ b/experiment/runner.go
@@ -344,10 +344,10 @@
 func (r *runner) loadOptions() load.Options {
 	o := load.Options{
 		Seed: r.seed, Nodes: r.callerNodes(),
-		Dial:      r.network.Dialer(shape.Endpoint{Zone: CallerZone, Process: CallerZone}, shape.KindCaller),
-		Path:      func(route load.Route) string { return RoutePath(route.Service, route.Class) },
-		Deadlines: r.profile.Deadlines,
-		RoundTrip: 2 * r.profile.CallerDelay,
+		Dial:       r.network.Dialer(shape.Endpoint{Zone: CallerZone, Process: CallerZone}, shape.KindCaller),
+		Path:       func(route load.Route) string { return RoutePath(route.Service, route.Class) },
+		Deadlines:  r.profile.Deadlines,
+		RoundTrip:  2 * r.profile.CallerDelay,
 		CancelRate: r.scenario.leave, AttemptTimeout: r.scenario.patience, MaxSends: r.scenario.sends,
 		CrashRate: r.scenario.crashRate, NestRate: r.scenario.nestRate, NestDepth: nestDepth,
 	}
--- a/experiment/standin/announcer.go
+++ b/experiment/standin/announcer.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// announceInterval repeats the announcement, because a node that restarts has lost it.
+	// announceInterval is the time between repeated announcements; a node that restarts has lost the earlier ones.
 	announceInterval = 500 * time.Millisecond
-	// announceRetry is the wait after a node refused or did not answer.
+	// announceRetry is the delay before an announcement is repeated that the node refused or did not receive.
 	announceRetry = 50 * time.Millisecond
-	// announceTimeout bounds one announcement.
+	// announceTimeout is the timeout of one announcement request.
 	announceTimeout = time.Second
 )
 
@@ -30,24 +30,29 @@
 	LoadPath    string `json:"load_path"`
 }
 
+// announceState is what the announcer currently tells the node.
 type announceState uint8
 
 const (
-	announceSilent announceState = iota
+	announceNothing announceState = iota
 	announceServing
 	announceDraining
 )
 
-// announcer sends announcements one at a time, so that none overtakes another.
+// announcer tells the node beside the upstream that the upstream serves or leaves. One goroutine sends all
+// announcements, so that none overtakes another.
 type announcer struct {
 	client *http.Client
 	url    string
 	body   []byte
 	stop   context.CancelFunc
 
-	mu      sync.Mutex
-	state   announceState
+	mu    sync.Mutex
+	state announceState
+	// drained is closed when the node has acknowledged the announcement that the upstream is leaving. Each change of
+	// state replaces it.
 	drained chan struct{}
+	// changed wakes the goroutine after a change of state.
 	changed chan struct{}
 }
 
@@ -69,10 +74,11 @@
 	return a
 }
 
-func (a *announcer) serving() { a.set(announceServing) }
-func (a *announcer) silent()  { a.set(announceSilent) }
-func (a *announcer) close()   { a.stop() }
+func (a *announcer) serving()        { a.set(announceServing) }
+func (a *announcer) stopAnnouncing() { a.set(announceNothing) }
+func (a *announcer) close()          { a.stop() }
 
+// set changes the state and returns the channel that is closed if the node acknowledges draining in this state.
 func (a *announcer) set(s announceState) <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -85,7 +91,7 @@
 	return a.drained
 }
 
-// draining returns when the node has acknowledged.
+// draining announces that the upstream is leaving. It returns when the node has acknowledged, or with the error of ctx.
 func (a *announcer) draining(ctx context.Context) error {
 	select {
 	case <-a.set(announceDraining):
@@ -114,7 +120,7 @@
 	a.mu.Unlock()
 	method := http.MethodPut
 	switch state {
-	case announceSilent:
+	case announceNothing:
 		return announceInterval
 	case announceDraining:
 		method = http.MethodDelete
@@ -128,13 +134,14 @@
 	return announceInterval
 }
 
+// finishDrain ends the announcements after the node has acknowledged, unless the state changed in the meantime.
 func (a *announcer) finishDrain(drained chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.drained != drained {
 		return
 	}
-	a.state = announceSilent
+	a.state = announceNothing
 	close(drained)
 }
 
--- a/experiment/standin/handler.go
+++ b/experiment/standin/handler.go
@@ -19,37 +19,38 @@
 	loadPath   = "/load"
 )
 
-// Sizes of answers. Some reports exceed the 64 KiB up to which nodes buffer.
+// Sizes of response bodies, in bytes. A share longReportRate of the reports exceeds the 64 KiB up to which nodes buffer
+// a response.
 const (
-	smallAnswer    = 500
-	reportMinimum  = 4 << 10
-	reportSpread   = 16 << 10
-	longReport     = 96 << 10
-	longReportRate = 0.02
+	smallResponse   = 500
+	minReport       = 4 << 10
+	reportSizeRange = 16 << 10
+	longReport      = 96 << 10
+	longReportRate  = 0.02
 )
 
-// LoadReport is the body of the load endpoint.
+// LoadReport is the body of the load endpoint: the requests that run, those that wait for a slot, and the slots.
 type LoadReport struct {
 	InFlight int `json:"in_flight"`
 	Queued   int `json:"queued"`
 	Slots    int `json:"slots"`
 }
 
-// laggingLoad holds the last published load report.
-type laggingLoad struct {
-	mu   sync.Mutex
-	at   time.Time
-	last LoadReport
+// loadReportCache keeps a load report for up to maxReportAge, so that nodes see values that lag behind.
+type loadReportCache struct {
+	mu      sync.Mutex
+	takenAt time.Time
+	report  LoadReport
 }
 
-func (l *laggingLoad) get(current func() LoadReport) LoadReport {
+func (l *loadReportCache) get(current func() LoadReport) LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if time.Since(l.at) > reportLag {
-		l.at = time.Now()
-		l.last = current()
+	if time.Since(l.takenAt) > maxReportAge {
+		l.takenAt = time.Now()
+		l.report = current()
 	}
-	return l.last
+	return l.report
 }
 
 func (u *Upstream) handler() http.Handler {
@@ -68,25 +69,25 @@
 }
 
 func (u *Upstream) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	report := u.lagging.get(u.load)
+	report := u.loadReports.get(u.load)
 	if u.faults.Load().ReportIdle {
 		report = LoadReport{Slots: u.options.Slots}
 	}
-	// A caller that went away needs no report.
+	// An error means that the client has closed the connection.
 	_ = json.NewEncoder(w).Encode(report)
 }
 
 func (u *Upstream) load() LoadReport {
 	running := int(u.running.Load())
-	return LoadReport{InFlight: running, Queued: max(0, int(u.inside.Load())-running), Slots: u.options.Slots}
+	return LoadReport{InFlight: running, Queued: max(0, int(u.admitted.Load())-running), Slots: u.options.Slots}
 }
 
-// call is one request on its way through the upstream.
+// call is a request that the upstream handles. rng depends on the seed and the attempt only.
 type call struct {
 	request, attempt string
 	class            bundle.Class
 	rng              *rand.Rand
-	nest             int
+	nestDepth        int
 	arrived          time.Time
 }
 
@@ -94,23 +95,23 @@
 	h := r.Header
 	hash := fnv.New64a()
 	_, _ = io.WriteString(hash, h.Get(HeaderAttempt))
-	nest, _ := strconv.Atoi(h.Get(HeaderNest)) // Absent means no nested calls.
+	nestDepth, _ := strconv.Atoi(h.Get(HeaderNest)) // A missing header gives 0: no nested calls.
 	return call{
 		request: h.Get(HeaderRequest), attempt: h.Get(HeaderAttempt), class: bundle.Class(h.Get(HeaderClass)),
-		rng:  rand.New(rand.NewPCG(uint64(u.options.Seed), hash.Sum64())),
-		nest: nest, arrived: time.Now(),
+		rng:       rand.New(rand.NewPCG(uint64(u.options.Seed), hash.Sum64())),
+		nestDepth: nestDepth, arrived: time.Now(),
 	}
 }
 
 func (u *Upstream) serveCall(w http.ResponseWriter, r *http.Request) {
 	c := u.newCall(r)
-	u.noteLate(c)
-	// The server notices a closed connection only once the body was read.
+	u.recordIfDraining(c)
+	// net/http cancels the request's context on a closed connection only after the body has been read.
 	_, _ = io.Copy(io.Discard, r.Body)
-	inside := u.inside.Add(1)
-	defer u.inside.Add(-1)
+	admitted := u.admitted.Add(1)
+	defer u.admitted.Add(-1)
 	f := u.faults.Load()
-	if inside > int64(u.options.Connections) || c.rng.Float64() < f.ShedRate {
+	if admitted > int64(u.options.Connections) || c.rng.Float64() < f.ShedRate {
 		shed(w)
 		return
 	}
@@ -123,62 +124,67 @@
 	u.run(w, r, c, f)
 }
 
+// shed refuses a request before it runs.
 func shed(w http.ResponseWriter) {
 	w.Header().Set(HeaderOutcome, OutcomeNotRun)
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (u *Upstream) noteLate(c call) {
+// recordIfDraining records a request that arrives although the node knows that the upstream is leaving.
+func (u *Upstream) recordIfDraining(c call) {
 	u.mu.Lock()
-	drainAt := u.drainAt
+	drainingSince := u.drainingSince
 	u.mu.Unlock()
-	if !drainAt.IsZero() {
-		u.options.Recorder.addLate(LateRequest{Upstream: u.options.ID, Attempt: c.attempt, After: time.Since(drainAt)})
+	if !drainingSince.IsZero() {
+		u.options.Recorder.addLateRequest(LateRequest{Upstream: u.options.ID, Attempt: c.attempt, After: time.Since(drainingSince)})
 	}
 }
 
+// run executes a request that has taken a slot, and responds.
 func (u *Upstream) run(w http.ResponseWriter, r *http.Request, c call, f *Faults) {
 	u.running.Add(1)
 	defer u.running.Add(-1)
 	receipt := u.nextReceipt()
-	index := u.options.Recorder.begin(Run{
+	index := u.options.Recorder.beginRun(Run{
 		Request: c.request, Attempt: c.attempt, Class: c.class, Upstream: u.options.ID, Node: u.options.NodeID,
 		Receipt: receipt, Start: time.Now(),
 	})
 	if r.Header.Get(HeaderCrash) != "" {
-		u.options.Recorder.end(index, false, true)
+		u.options.Recorder.endRun(index, false, true)
 		u.Crash()
 		panic(http.ErrAbortHandler)
 	}
 	if !sleep(r.Context(), u.serviceTime(c)) {
-		u.options.Recorder.end(index, false, u.died())
+		u.options.Recorder.endRun(index, false, u.wasKilled())
 		return
 	}
-	nested := u.nested(r, c)
-	u.options.Recorder.end(index, true, false)
+	nested := u.callNested(r, c)
+	u.options.Recorder.endRun(index, true, false)
 	if nested != nil {
-		// The request ran, and its answer is an error of the application.
+		// The request ran and ends with an error of the application.
 		http.Error(w, nested.Error(), http.StatusInternalServerError)
 		return
 	}
-	u.answer(w, r, c, receipt, f)
+	u.respond(w, r, c, receipt, f)
 }
 
-// died reports whether the upstream ended without notice.
-func (u *Upstream) died() bool {
+// wasKilled reports whether the upstream was killed or crashed since its last start.
+func (u *Upstream) wasKilled() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.dead
+	return u.killed
 }
 
-// serviceTime is half fixed and half exponential, so that the mean is kept and long runs occur.
+// serviceTime draws the service time of a call: half of the mean is fixed and the other half exponentially distributed,
+// which keeps the mean and gives occasional long runs.
 func (u *Upstream) serviceTime(c call) time.Duration {
-	mean := float64(u.options.ServiceTimes[c.class]) * u.options.TimeScale * u.slowness()
+	mean := float64(u.options.ServiceTimes[c.class]) * u.options.TimeScale * u.slowdown()
 	return time.Duration(mean * (0.5 + 0.5*c.rng.ExpFloat64()))
 }
 
-func (u *Upstream) answer(w http.ResponseWriter, r *http.Request, c call, receipt string, f *Faults) {
-	body, digest := newAnswer(c.request, receipt, answerSize(c))
+// respond sends the response of a finished run, delayed or truncated as the faults say.
+func (u *Upstream) respond(w http.ResponseWriter, r *http.Request, c call, receipt string, f *Faults) {
+	body, digest := newResponse(c.request, receipt, responseSize(c))
 	if c.rng.Float64() < f.LateRate && !sleep(r.Context(), f.LateDelay) {
 		return
 	}
@@ -193,17 +199,17 @@
 	_, _ = w.Write(body)
 }
 
-func answerSize(c call) int {
+func responseSize(c call) int {
 	if c.class != bundle.ClassReport {
-		return smallAnswer
+		return smallResponse
 	}
 	if c.rng.Float64() < longReportRate {
 		return longReport
 	}
-	return reportMinimum + c.rng.IntN(reportSpread)
+	return minReport + c.rng.IntN(reportSizeRange)
 }
 
-// sleep returns false if the context ended first.
+// sleep waits for d and returns true, or false if the context ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/experiment/standin/listener.go
+++ b/experiment/standin/listener.go
@@ -6,49 +6,50 @@
 	"time"
 )
 
-// limitListener accepts a limited number of open connections and delays the first byte of each.
+// limitListener limits the number of open connections, and delays the first read of each.
 type limitListener struct {
 	net.Listener
-	open  chan struct{}
-	done  chan struct{}
-	close sync.Once
-	delay time.Duration
+	connections chan struct{}
+	closed      chan struct{}
+	closeOnce   sync.Once
+	delay       time.Duration
 }
 
 func newLimitListener(l net.Listener, limit int, delay time.Duration) *limitListener {
-	return &limitListener{Listener: l, open: make(chan struct{}, limit), done: make(chan struct{}), delay: delay}
+	return &limitListener{Listener: l, connections: make(chan struct{}, limit), closed: make(chan struct{}), delay: delay}
 }
 
 // Accept implements net.Listener.
 func (l *limitListener) Accept() (net.Conn, error) {
 	select {
-	case l.open <- struct{}{}:
-	case <-l.done:
+	case l.connections <- struct{}{}:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 	c, err := l.Listener.Accept()
 	if err != nil {
-		<-l.open
+		<-l.connections
 		return nil, err
 	}
-	return &limitConn{Conn: c, ready: time.Now().Add(l.delay), release: sync.OnceFunc(func() { <-l.open })}, nil
+	return &limitConn{Conn: c, readableAt: time.Now().Add(l.delay), release: sync.OnceFunc(func() { <-l.connections })}, nil
 }
 
 // Close implements net.Listener.
 func (l *limitListener) Close() error {
-	l.close.Do(func() { close(l.done) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
+// limitConn is a connection of a limitListener. Reads wait until readableAt; release frees its place under the limit.
 type limitConn struct {
 	net.Conn
-	ready   time.Time
-	release func()
+	readableAt time.Time
+	release    func()
 }
 
 // Read implements net.Conn.
 func (c *limitConn) Read(p []byte) (int, error) {
-	if wait := time.Until(c.ready); wait > 0 {
+	if wait := time.Until(c.readableAt); wait > 0 {
 		time.Sleep(wait)
 	}
 	return c.Conn.Read(p)
--- a/experiment/standin/standin.go
+++ b/experiment/standin/standin.go
@@ -21,54 +21,56 @@
 	Seed    int64
 	ID      string
 	Service string
-	// IP is the loopback address to listen on; empty takes 127.0.0.1. An address of its own keeps the port free while
-	// the upstream is down.
+	// IP is the loopback address to listen on; empty means 127.0.0.1. With an address of its own, no other process
+	// can take the upstream's port while the upstream is down.
 	IP string
-	// NodeID is the node beside the upstream. Admin is that node's address for announcements, and Node its address
-	// for nested calls.
+	// NodeID is the node beside the upstream, NodeAdminAddress that node's address for announcements, and NodeAddress
+	// its address for nested calls.
 	NodeID           string
 	NodeAdminAddress string
 	NodeAddress      string
-	// NestPaths are the paths that nested calls take in turn.
+	// NestPaths are the URL paths that nested calls use in turn.
 	NestPaths   []string
 	Slots       int
 	Connections int
 	// ConnectDelay is the extra time before the first byte of a new connection is read.
 	ConnectDelay time.Duration
-	// ServiceTimes are the mean service times by class. TimeScale multiplies them; 0 takes 1.
+	// ServiceTimes are the mean service times by class. TimeScale multiplies them; 0 means 1.
 	ServiceTimes map[bundle.Class]time.Duration
 	TimeScale    float64
-	// Recorder receives the ground truth.
+	// Recorder records the runs and the late requests of this upstream.
 	Recorder *Recorder
 }
 
 // Faults are misbehaviours that can be changed while the upstream runs. Rates are probabilities per request.
 type Faults struct {
-	// SlowFactor multiplies service times; 0 takes 1.
+	// SlowFactor multiplies service times; 0 means 1.
 	SlowFactor float64
-	// ReportIdle makes the load endpoint report an idle upstream, and LieHealth a healthy one.
+	// ReportIdle makes the load endpoint report an idle upstream whatever its load is. ReportHealthy makes the health
+	// endpoint report success even if Unhealthy is set.
 	ReportIdle    bool
 	ReportHealthy bool
-	// Unhealthy makes the health endpoint report failure unless it lies.
+	// Unhealthy makes the health endpoint report failure, unless ReportHealthy is set.
 	Unhealthy bool
-	// ShedRate refuses requests as not run.
+	// ShedRate is for requests that are refused before they run.
 	ShedRate float64
-	// TruncateRate cuts answers after half of the body.
+	// TruncateRate is for responses that are cut after half of the body.
 	TruncateRate float64
-	// LateRate delays finished answers by Late.
+	// LateRate is for responses that are sent LateDelay after the run has finished.
 	LateRate  float64
 	LateDelay time.Duration
 }
 
 const (
-	// coldTime is how long a restarted upstream is slower, by up to coldFactor, falling evenly.
-	coldTime   = 1500 * time.Millisecond
-	coldFactor = 4.0
-	// crashTime is how long a crashed upstream refuses connections.
-	crashTime = time.Second
-	// reportLag is the age that values of the health and load endpoints can reach.
-	reportLag = 200 * time.Millisecond
-	// stopTimeout bounds a graceful stop.
+	// coldDuration is how long an upstream is slower after a restart. Service times are coldSlowdown times as long at
+	// first, and fall linearly to their usual value.
+	coldDuration = 1500 * time.Millisecond
+	coldSlowdown = 4.0
+	// crashDowntime is how long a crashed upstream refuses connections.
+	crashDowntime = time.Second
+	// maxReportAge is the maximum age of the values that the load endpoint returns.
+	maxReportAge = 200 * time.Millisecond
+	// stopTimeout is the maximum time for which Stop waits for requests in flight.
 	stopTimeout = 10 * time.Second
 )
 
@@ -77,25 +79,25 @@
 
 // Upstream is one emulated upstream. It is safe for concurrent use.
 type Upstream struct {
-	options  Options
-	address  string
-	client   *http.Client
-	announce *announcer
-	faults   atomic.Pointer[Faults]
-	slots    chan struct{}
-	inside   atomic.Int64
-	running  atomic.Int64
-	receipts atomic.Int64
-	lagging  laggingLoad
+	options     Options
+	address     string
+	client      *http.Client
+	announce    *announcer
+	faults      atomic.Pointer[Faults]
+	slots       chan struct{}
+	admitted    atomic.Int64
+	running     atomic.Int64
+	receipts    atomic.Int64
+	loadReports loadReportCache
 
-	mu      sync.Mutex
-	server  *http.Server
-	started time.Time
-	warm    bool
-	drainAt time.Time
-	// stopped keeps a crashed upstream from coming back. dead is set from the end without notice to the next start.
+	mu            sync.Mutex
+	server        *http.Server
+	started       time.Time
+	warm          bool
+	drainingSince time.Time
+	// stopped prevents the automatic restart after a crash. killed is set from a kill or crash until the next start.
 	stopped bool
-	dead    bool
+	killed  bool
 }
 
 // New returns an upstream that is not started.
@@ -108,12 +110,13 @@
 	return u
 }
 
-// newLocalClient returns a client for the node beside the upstream, which is on the same machine and not shaped.
+// newLocalClient returns a client for the node beside the upstream, whose connections get no emulated network delays.
 func newLocalClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 }
 
-// Start opens the server and announces the upstream. The first start is warm, later ones are cold.
+// Start opens the server and announces the upstream. After the first start the upstream has its full speed at once;
+// after later ones it is slower for coldDuration.
 func (u *Upstream) Start() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -121,11 +124,11 @@
 		return nil
 	}
 	u.stopped = false
-	u.drainAt = time.Time{}
+	u.drainingSince = time.Time{}
 	return u.serve(u.address == "")
 }
 
-// serve opens the server; the mutex is held.
+// serve opens the server and starts the announcements. The caller holds u.mu.
 func (u *Upstream) serve(warm bool) error {
 	address := u.address
 	if address == "" {
@@ -137,7 +140,7 @@
 	}
 	u.address = listener.Addr().String()
 	u.started = time.Now()
-	u.dead = false
+	u.killed = false
 	u.warm = warm
 	u.server = &http.Server{Handler: u.handler()}
 	go func(server *http.Server) {
@@ -174,7 +177,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.drainAt = time.Now()
+	u.drainingSince = time.Now()
 	return nil
 }
 
@@ -196,8 +199,9 @@
 	}
 }
 
-// detach takes the server out of service and stops announcements. It returns nil if the upstream is down already.
-func (u *Upstream) detach(dead, stopped bool) *http.Server {
+// detach stops the announcements and returns the server, which the caller has to close, or nil if the upstream is down
+// already. killed and stopped set the fields of these names.
+func (u *Upstream) detach(killed, stopped bool) *http.Server {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	server := u.server
@@ -207,16 +211,16 @@
 	}
 	u.server = nil
 	u.stopped = stopped
-	u.dead = dead
-	u.announce.silent()
+	u.killed = killed
+	u.announce.stopAnnouncing()
 	return server
 }
 
-// Crash drops all connections and comes back cold after a second.
+// Crash drops all connections, and restarts the upstream after crashDowntime unless it was stopped in the meantime.
 func (u *Upstream) Crash() {
 	if server := u.detach(true, false); server != nil {
 		_ = server.Close()
-		time.AfterFunc(crashTime, u.recoverFromCrash)
+		time.AfterFunc(crashDowntime, u.recoverFromCrash)
 	}
 }
 
@@ -227,12 +231,12 @@
 		return
 	}
 	if err := u.serve(false); err != nil {
-		// Nothing else listens on the address, so that only a machine without resources gets here.
+		// Nothing else listens on this address, so this fails only if the system is out of resources.
 		panic(err)
 	}
 }
 
-// Close ends the upstream and its announcements.
+// Close kills the upstream and ends its announcements for good.
 func (u *Upstream) Close() {
 	u.Kill()
 	u.mu.Lock()
@@ -243,14 +247,14 @@
 	u.client.CloseIdleConnections()
 }
 
-// slowness returns the current factor on service times.
-func (u *Upstream) slowness() float64 {
+// slowdown returns the factor that currently multiplies service times.
+func (u *Upstream) slowdown() float64 {
 	u.mu.Lock()
 	age, warm := time.Since(u.started), u.warm
 	u.mu.Unlock()
 	factor := 1.0
-	if !warm && age < coldTime {
-		factor += (coldFactor - 1) * (1 - age.Seconds()/coldTime.Seconds())
+	if !warm && age < coldDuration {
+		factor += (coldSlowdown - 1) * (1 - age.Seconds()/coldDuration.Seconds())
 	}
 	if slow := u.faults.Load().SlowFactor; slow > 0 {
 		factor *= slow
@@ -258,6 +262,7 @@
 	return factor
 }
 
+// nextReceipt returns the identifier of the next run.
 func (u *Upstream) nextReceipt() string {
 	return fmt.Sprintf("%s-%d", u.options.ID, u.receipts.Add(1))
 }
--- a/experiment/standin/standin_test.go
+++ b/experiment/standin/standin_test.go
@@ -42,13 +42,13 @@
 	return a
 }
 
-func (a *fakeAdmin) seen() (methods []string, last Announcement) {
+func (a *fakeAdmin) received() (methods []string, last Announcement) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return append([]string(nil), a.methods...), a.last
 }
 
-// start starts an upstream with one millisecond of service time.
+// start starts an upstream whose service time is one millisecond, with options that edit can change.
 func start(edit func(*Options)) (*Upstream, *Recorder, *fakeAdmin) {
 	GinkgoHelper()
 	admin := newFakeAdmin()
@@ -66,7 +66,7 @@
 	return u, o.Recorder, admin
 }
 
-// get sends one request and returns the response with its body, or the error of either.
+// get sends one lookup with extra headers (name, value, ...) and returns the response and its body.
 func get(u *Upstream, headers ...string) (*http.Response, []byte, error) {
 	GinkgoHelper()
 	request, err := http.NewRequest(http.MethodGet, "http://"+u.Address()+"/rank/lookup", nil)
@@ -88,21 +88,21 @@
 }
 
 var _ = Describe("Upstream", func() {
-	It("answers with the request's echo and digest, and records the run", func() {
-		u, truth, _ := start(nil)
+	It("responds with the request's identifier and the digest of the body, and records the run", func() {
+		u, recorder, _ := start(nil)
 		response, body, err := get(u)
 		Expect(err).NotTo(HaveOccurred())
-		answer, err := CheckResponse(response.Header, body, "r")
+		content, err := CheckResponse(response.Header, body, "r")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(truth.Runs()).To(HaveLen(1))
-		run := truth.Runs()[0]
-		Expect(run.Receipt).To(Equal(answer.Receipt))
+		Expect(recorder.Runs()).To(HaveLen(1))
+		run := recorder.Runs()[0]
+		Expect(run.Receipt).To(Equal(content.Receipt))
 		Expect(run.Attempt).To(Equal("r#0"))
 		Expect(run.Finished).To(BeTrue())
 	})
 
-	// Guards against a checker that lets crossed, altered or cut answers pass.
-	It("makes crossed, altered and cut answers detectable", func() {
+	// Guards against a check that accepts a response which is altered, truncated or belongs to another request.
+	It("rejects responses that are altered, truncated or belong to another request", func() {
 		u, _, _ := start(nil)
 		response, body, err := get(u)
 		Expect(err).NotTo(HaveOccurred())
@@ -115,63 +115,63 @@
 		Expect(err).To(MatchError(ErrWrongResponse))
 	})
 
-	// Guards against a shed request that counts as run, which would make every not-run a false one.
-	It("sheds without a run", func() {
-		u, truth, _ := start(nil)
+	// Guards against a shed request that is recorded as run: the checks would take every outcome not-run for false.
+	It("sheds a request without running it", func() {
+		u, recorder, _ := start(nil)
 		u.SetFaults(Faults{ShedRate: 1})
 		response, _, err := get(u)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(response.Header.Get(HeaderOutcome)).To(Equal(OutcomeNotRun))
-		Expect(truth.Runs()).To(BeEmpty())
+		Expect(recorder.Runs()).To(BeEmpty())
 	})
 
-	// Guards against a truncated answer that HTTP clients take for complete, or whose run is lost.
-	It("truncates an answer visibly after a finished run", func() {
-		u, truth, _ := start(nil)
+	// Guards against a truncated response that HTTP clients take for complete, or whose run is not recorded.
+	It("truncates the response of a finished run so that clients notice", func() {
+		u, recorder, _ := start(nil)
 		u.SetFaults(Faults{TruncateRate: 1})
 		_, _, err := get(u)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
-		Expect(truth.Runs()[0].Finished).To(BeTrue())
+		Expect(recorder.Runs()[0].Finished).To(BeTrue())
 	})
 
-	It("crashes on a marked request, refuses connections and comes back on the same address", func() {
-		u, truth, _ := start(nil)
+	It("crashes on a marked request, refuses connections and restarts on the same address", func() {
+		u, recorder, _ := start(nil)
 		_, _, err := get(u, HeaderCrash, "1")
 		Expect(err).To(HaveOccurred())
-		Expect(truth.Runs()[0].Crashed).To(BeTrue())
+		Expect(recorder.Runs()[0].Crashed).To(BeTrue())
 		_, _, err = get(u)
 		Expect(err).To(MatchError(ContainSubstring("refused")))
 		Eventually(func() error { _, _, err := get(u); return err }, 5*time.Second).Should(Succeed())
 	})
 
 	It("announces itself, and announces draining while it goes on serving", func() {
-		u, truth, admin := start(nil)
-		Eventually(func() []string { m, _ := admin.seen(); return m }).Should(ContainElement("PUT /v1/upstream"))
-		_, announced := admin.seen()
+		u, recorder, admin := start(nil)
+		Eventually(func() []string { m, _ := admin.received(); return m }).Should(ContainElement("PUT /v1/upstream"))
+		_, announced := admin.received()
 		Expect(announced).To(Equal(Announcement{
 			Service: "rank", Address: u.Address(), Slots: 2, Connections: 4, HealthPath: "/health", LoadPath: "/load",
 		}))
 		Expect(u.Drain(context.Background())).To(Succeed())
-		methods, _ := admin.seen()
+		methods, _ := admin.received()
 		Expect(methods[len(methods)-1]).To(Equal("DELETE /v1/upstream"))
 		_, _, err := get(u)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(truth.LateRequests()).To(HaveLen(1))
+		Expect(recorder.LateRequests()).To(HaveLen(1))
 	})
 
-	// Guards against a graceful stop that interrupts the upstream's own requests.
+	// Guards against a graceful stop that interrupts requests in flight.
 	It("completes requests in flight when it stops", func() {
-		u, truth, _ := start(func(o *Options) { o.TimeScale = 200 })
+		u, recorder, _ := start(func(o *Options) { o.TimeScale = 200 })
 		result := make(chan error, 1)
 		go func() { _, _, err := get(u); result <- err }()
-		Eventually(truth.Runs, 5*time.Second).Should(HaveLen(1))
+		Eventually(recorder.Runs, 5*time.Second).Should(HaveLen(1))
 		Expect(u.Stop(context.Background())).To(Succeed())
 		Expect(<-result).NotTo(HaveOccurred())
-		Expect(truth.Runs()[0].Finished).To(BeTrue())
+		Expect(recorder.Runs()[0].Finished).To(BeTrue())
 	})
 
-	It("lies about health and load on demand", func() {
+	It("reports a healthy upstream on demand although it is unhealthy", func() {
 		u, _, _ := start(nil)
 		status := func() int {
 			response, err := http.Get("http://" + u.Address() + "/health")
@@ -203,14 +203,14 @@
 			_, _ = io.Copy(w, response.Body)
 		}))
 		DeferCleanup(node.Close)
-		var truth *Recorder
-		u, truth, _ = start(func(o *Options) {
+		var recorder *Recorder
+		u, recorder, _ = start(func(o *Options) {
 			o.NodeAddress, o.NestPaths, o.Slots, o.Connections = strings.TrimPrefix(node.URL, "http://"), []string{"/rank/lookup"}, 8, 8
 		})
 		response, _, err := get(u, HeaderNest, "3", HeaderDeadline, "5000", HeaderDepth, "1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusOK))
-		Expect(truth.Runs()).To(HaveLen(4))
+		Expect(recorder.Runs()).To(HaveLen(4))
 		Expect(headers).To(HaveLen(3))
 		Expect(headers[2].Get(HeaderNest)).To(Equal("0"))
 		Expect(headers[2].Get(HeaderDepth)).To(Equal("1"))
--- a/experiment/standin/wire.go
+++ b/experiment/standin/wire.go
@@ -17,13 +17,15 @@
 	HeaderClass   = "Experiment-Class"
 	// HeaderCrash marks a request that crashes the upstream that runs it.
 	HeaderCrash = "Experiment-Crash"
-	// HeaderNest is the number of calls that the request makes one inside the other.
+	// HeaderNest is how many levels of nested calls the request makes: its upstream makes one call, with the value
+	// lowered by 1, until the value is 0.
 	HeaderNest = "Experiment-Nest"
-	// HeaderDigest is the SHA-256 of the answer's body.
+	// HeaderDigest is the SHA-256 of the response body, in hexadecimal.
 	HeaderDigest = "Experiment-Digest"
 )
 
-// Headers of the design page, section 5.
+// Headers that applications, callers and nodes exchange. HeaderAddedTime is in microseconds, HeaderDeadline in
+// milliseconds.
 const (
 	HeaderOutcome        = "Sapphire-Outcome"
 	HeaderDeadline       = "Sapphire-Deadline-Ms"
@@ -36,19 +38,20 @@
 // OutcomeNotRun is the outcome that an upstream sends when it sheds a request.
 const OutcomeNotRun = "not-run"
 
-// ErrWrongResponse reports an answer that is complete but altered or for another request.
+// ErrWrongResponse reports a response that is complete but was altered or belongs to another request.
 var ErrWrongResponse = errors.New("standin: wrong answer")
 
-// ResponseBody is the body of an upstream's response.
+// ResponseBody is the JSON body of an upstream's response.
 type ResponseBody struct {
 	Request string `json:"request"`
-	// Receipt identifies the run that produced the answer.
+	// Receipt identifies the run that produced the response.
 	Receipt string `json:"receipt"`
-	Filler  string `json:"filler"`
+	// Filler brings the body to the wanted size.
+	Filler string `json:"filler"`
 }
 
-// newAnswer returns a body of about the given size and its digest.
-func newAnswer(request, receipt string, size int) (body []byte, digest string) {
+// newResponse returns a response body with a filler of size bytes, and the body's digest.
+func newResponse(request, receipt string, size int) (body []byte, digest string) {
 	body, err := json.Marshal(ResponseBody{Request: request, Receipt: receipt, Filler: strings.Repeat("x", size)})
 	if err != nil {
 		// Strings always encode.
@@ -62,17 +65,18 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// CheckResponse verifies a complete response to a request. It returns ErrWrongAnswer unless digest and echo match.
+// CheckResponse verifies a complete response to a request. It returns ErrWrongResponse unless the body
+// matches the digest header and names the request.
 func CheckResponse(header http.Header, body []byte, request string) (ResponseBody, error) {
 	if header.Get(HeaderDigest) != digestOf(body) {
 		return ResponseBody{}, errors.Wrapf(ErrWrongResponse, "digest of %d bytes", len(body))
 	}
-	var answer ResponseBody
-	if err := json.Unmarshal(body, &answer); err != nil {
+	var content ResponseBody
+	if err := json.Unmarshal(body, &content); err != nil {
 		return ResponseBody{}, errors.Wrap(ErrWrongResponse, err.Error())
 	}
-	if answer.Request != request {
-		return ResponseBody{}, errors.Wrapf(ErrWrongResponse, "answer to %s, want %s", answer.Request, request)
+	if content.Request != request {
+		return ResponseBody{}, errors.Wrapf(ErrWrongResponse, "answer to %s, want %s", content.Request, request)
 	}
-	return answer, nil
+	return content, nil
 }
