--- a/experiment/load/arrivals.go
+++ b/experiment/load/arrivals.go
@@ -9,40 +9,43 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// arrival is a call that is due at an offset from the start of the load.
+// arrival is a call that callers make at an offset from the start of the load. crash marks a call that crashes its
+// upstream; nestDepth is how many levels of nested calls it makes; its caller cancels it after cancelAfter, if not 0.
 type arrival struct {
-	at    time.Duration
-	route Route
-	crash bool
-	nest  int
-	left  time.Duration
+	offset      time.Duration
+	route       Route
+	crash       bool
+	nestDepth   int
+	cancelAfter time.Duration
 }
 
-// stream is a source of arrivals with exponential gaps.
+// stream is a Poisson process of equal arrivals: the gaps between them are exponentially distributed. rates holds its
+// arrivals per second in each phase, next the offset of its next arrival, or -1 after the last.
 type stream struct {
-	rates []float64
-	next  time.Duration
-	proto arrival
-	rng   *rand.Rand
+	rates    []float64
+	next     time.Duration
+	template arrival
+	rng      *rand.Rand
 }
 
-// arrivals yields the arrivals of all streams in order.
+// arrivals merges the arrivals of all streams in order of time. phaseEnds holds the offset at which each phase ends.
 type arrivals struct {
-	ends    []time.Duration
-	streams []*stream
-	leave   float64
+	phaseEnds  []time.Duration
+	streams    []*stream
+	cancelRate float64
 }
 
-// newArrivals has one generator per stream, so that the rate of one stream does not change the others.
+// newArrivals returns the arrivals of a load. Each stream has its own random numbers, so that the rate of one does not
+// change the arrivals of the others. Crashing and nested calls are lookups of the first service that has any.
 func newArrivals(o Options) *arrivals {
-	a := &arrivals{leave: o.CancelRate}
+	a := &arrivals{cancelRate: o.CancelRate}
 	var end time.Duration
 	for _, phase := range o.Phases {
 		end += phase.Duration
-		a.ends = append(a.ends, end)
+		a.phaseEnds = append(a.phaseEnds, end)
 	}
 	for _, route := range routesOf(o.Phases) {
-		s := a.add(o.Seed, arrival{route: route})
+		s := a.addStream(o.Seed, arrival{route: route})
 		for _, phase := range o.Phases {
 			s.rates = append(s.rates, phase.Rates[route])
 		}
@@ -51,8 +54,8 @@
 		if route.Class != bundle.ClassLookup {
 			continue
 		}
-		a.addConstant(o, o.CrashRate, arrival{route: route, crash: true})
-		a.addConstant(o, o.NestRate, arrival{route: route, nest: o.NestDepth - 1})
+		a.addConstantRate(o, o.CrashRate, arrival{route: route, crash: true})
+		a.addConstantRate(o, o.NestRate, arrival{route: route, nestDepth: o.NestDepth - 1})
 		break
 	}
 	for _, s := range a.streams {
@@ -61,19 +64,21 @@
 	return a
 }
 
-func (a *arrivals) add(seed int64, proto arrival) *stream {
-	s := &stream{proto: proto, rng: rand.New(rand.NewPCG(uint64(seed), uint64(len(a.streams))))}
+func (a *arrivals) addStream(seed int64, template arrival) *stream {
+	s := &stream{template: template, rng: rand.New(rand.NewPCG(uint64(seed), uint64(len(a.streams))))}
 	a.streams = append(a.streams, s)
 	return s
 }
 
-func (a *arrivals) addConstant(o Options, rate float64, proto arrival) {
-	s := a.add(o.Seed, proto)
+// addConstantRate adds a stream with the same rate in all phases.
+func (a *arrivals) addConstantRate(o Options, rate float64, template arrival) {
+	s := a.addStream(o.Seed, template)
 	for range o.Phases {
 		s.rates = append(s.rates, rate)
 	}
 }
 
+// routesOf returns the distinct routes of all phases, sorted by service and class.
 func routesOf(phases []Phase) []Route {
 	seen := make(map[Route]bool)
 	for _, phase := range phases {
@@ -91,10 +96,10 @@
 	return routes
 }
 
-// advance moves a stream to its next arrival. A gap that crosses into another phase is drawn again from the border,
-// which is exact because exponential gaps have no memory.
+// advance moves a stream to its next arrival. A gap that crosses into another phase is drawn again from the start
+// of that phase; this keeps the distribution, because the exponential distribution is memoryless.
 func (a *arrivals) advance(s *stream) {
-	for i, end := range a.ends {
+	for i, end := range a.phaseEnds {
 		if s.next >= end {
 			continue
 		}
@@ -110,22 +115,22 @@
 	s.next = -1
 }
 
-// pop returns the earliest arrival, or false after the last.
+// pop removes and returns the earliest arrival, or returns false after the last.
 func (a *arrivals) pop() (arrival, bool) {
-	var first *stream
+	var earliest *stream
 	for _, s := range a.streams {
-		if s.next >= 0 && (first == nil || s.next < first.next) {
-			first = s
+		if s.next >= 0 && (earliest == nil || s.next < earliest.next) {
+			earliest = s
 		}
 	}
-	if first == nil {
+	if earliest == nil {
 		return arrival{}, false
 	}
-	result := first.proto
-	result.at = first.next
-	if first.rng.Float64() < a.leave {
-		result.left = time.Duration(first.rng.ExpFloat64() * float64(meanStay))
+	result := earliest.template
+	result.offset = earliest.next
+	if earliest.rng.Float64() < a.cancelRate {
+		result.cancelAfter = time.Duration(earliest.rng.ExpFloat64() * float64(meanCancelDelay))
 	}
-	a.advance(first)
+	a.advance(earliest)
 	return result, true
 }
--- a/experiment/load/generator.go
+++ b/experiment/load/generator.go
@@ -14,28 +14,30 @@
 )
 
 const (
-	defaultSends = 3
-	// meanStay is the mean time after which a caller that leaves is gone.
-	meanStay = 50 * time.Millisecond
-	// lateSlack is how long callers listen beyond the deadline, so that late answers are checked too.
-	lateSlack = 150 * time.Millisecond
-	// avoidTime is how long callers avoid a node that refused or lost a call.
-	avoidTime = time.Second
-	// maxConnections bounds the open connections of all callers. Each takes two of the process's file descriptors, which
-	// ran out at 20,000 in an overload without shedding.
+	defaultMaxSends = 3
+	// meanCancelDelay is the mean time after which a caller that cancels its call does so.
+	meanCancelDelay = 50 * time.Millisecond
+	// listenMargin is how long callers wait for a response beyond the deadline, so that late responses are checked too.
+	listenMargin = 150 * time.Millisecond
+	// avoidDuration is how long callers avoid a node that refused a connection or did not respond to a call.
+	avoidDuration = time.Second
+	// maxConnections limits the open connections of all callers together. Each takes two file descriptors of the process,
+	// whose limit of 20,000 was exhausted in an overload without shedding.
 	maxConnections = 6000
-	// resendPause keeps a caller from sending again at once after it was told that the outcome is unknown.
-	resendPause = 20 * time.Millisecond
+	// resendDelay is the delay before a call is sent again, so that a caller that learns at once that the outcome is
+	// unknown does not resend in a tight loop.
+	resendDelay = 20 * time.Millisecond
 )
 
-// Generator sends the calls. It is safe for concurrent use.
+// Generator makes the calls of a load at their scheduled times and records their outcomes. It is safe for
+// concurrent use.
 type Generator struct {
 	options   Options
 	client    *http.Client
 	transport *http.Transport
-	avoid     sync.Map // node identifier to the time.Time until which it is avoided
+	avoid     sync.Map // maps a node identifier to the time.Time until which callers avoid the node
 
-	offered, ended, whole, notRun, unknown atomic.Int64
+	offered, ended, succeeded, notRun, unknown atomic.Int64
 
 	mu    sync.Mutex
 	calls []*Call
@@ -44,7 +46,7 @@
 // New returns a generator.
 func New(o Options) *Generator {
 	if o.MaxSends == 0 {
-		o.MaxSends = defaultSends
+		o.MaxSends = defaultMaxSends
 	}
 	transport := &http.Transport{
 		DialContext:         o.Dial,
@@ -55,14 +57,15 @@
 	return &Generator{options: o, client: &http.Client{Transport: transport}, transport: transport}
 }
 
-// Run sends all calls at their times and returns when each has ended, sorted by start.
+// Run makes all calls at their scheduled times, whether or not earlier ones have ended. It returns the calls, sorted by
+// start, when all have ended.
 func (g *Generator) Run(ctx context.Context) []*Call {
 	var running sync.WaitGroup
 	source := newArrivals(g.options)
 	start := time.Now()
 	for ordinal := 0; ; ordinal++ {
 		next, ok := source.pop()
-		if !ok || !waitUntil(ctx, start.Add(next.at)) {
+		if !ok || !waitUntil(ctx, start.Add(next.offset)) {
 			break
 		}
 		call := g.newCall(ordinal, next, start)
@@ -75,6 +78,7 @@
 	return g.calls
 }
 
+// waitUntil waits for a time and returns true, or false if the context ended first.
 func waitUntil(ctx context.Context, at time.Time) bool {
 	if wait := time.Until(at); wait > 0 {
 		select {
@@ -85,14 +89,15 @@
 	return ctx.Err() == nil
 }
 
-// newCall starts the clock at the scheduled time, so that a late generator shows as latency and not as less load.
+// newCall records a call. Its Start is the scheduled time, so that a generator that runs late shows as latency and not
+// as less load.
 func (g *Generator) newCall(ordinal int, a arrival, start time.Time) *Call {
 	call := &Call{
 		Request:  requestID(g.options.Seed, ordinal),
 		Route:    a.route,
-		Start:    start.Add(a.at),
+		Start:    start.Add(a.offset),
 		Deadline: g.options.Deadlines[a.route.Class],
-		Special:  a.crash || a.nest > 0,
+		Special:  a.crash || a.nestDepth > 0,
 	}
 	g.offered.Add(1)
 	g.mu.Lock()
@@ -109,38 +114,39 @@
 	return fmt.Sprintf("%08x-%04x-7%03x-%04x-%012x", ms>>16, ms&0xffff, a&0xfff, 0x8000|b>>50, b&0xffffffffffff)
 }
 
-// perform sends a call until it has an outcome, its sends are used up or its time is over.
+// perform sends a call until shouldResend says no, MaxSends is reached or the time is over, and sets its outcome.
 func (g *Generator) perform(ctx context.Context, call *Call, a arrival, ordinal int) {
 	rng := rand.New(rand.NewPCG(uint64(g.options.Seed)+1, uint64(ordinal)))
-	ctx, cancel := context.WithDeadline(ctx, call.Start.Add(call.Deadline+lateSlack))
+	ctx, cancel := context.WithDeadline(ctx, call.Start.Add(call.Deadline+listenMargin))
 	defer cancel()
-	if a.left > 0 {
-		timer := time.AfterFunc(a.left, cancel)
+	if a.cancelAfter > 0 {
+		timer := time.AfterFunc(a.cancelAfter, cancel)
 		defer timer.Stop()
 	}
 	last := ""
 	for send := 0; send < g.options.MaxSends && ctx.Err() == nil; send++ {
-		node := g.pick(rng, last)
+		node := g.pickNode(rng, last)
 		last = node.ID
 		attempt := g.send(ctx, call, a, node, send)
 		call.Attempts = append(call.Attempts, attempt)
-		if !g.again(attempt) || !waitUntil(ctx, time.Now().Add(resendPause)) {
+		if !g.shouldResend(attempt) || !waitUntil(ctx, time.Now().Add(resendDelay)) {
 			break
 		}
 	}
 	call.End = time.Now()
 	call.Outcome = finalOutcome(call.Attempts)
-	noAnswer := call.Outcome == Lost || call.Outcome == Refused
-	call.Cancelled = a.left > 0 && noAnswer && time.Since(call.Start) < call.Deadline
-	g.count(call)
+	noResponse := call.Outcome == Lost || call.Outcome == Refused
+	call.Cancelled = a.cancelAfter > 0 && noResponse && time.Since(call.Start) < call.Deadline
+	g.countOutcome(call)
 }
 
-// again reports whether the caller sends once more. A call that was not run is left to the caller's own judgement,
-// which this load does not model.
-func (g *Generator) again(a Attempt) bool {
+// shouldResend reports whether the caller sends the call again. After the outcome not-run, applications decide this
+// themselves; here they do not resend. It also marks nodes that refused or did not respond as
+// avoided.
+func (g *Generator) shouldResend(a Attempt) bool {
 	switch a.Outcome {
 	case Lost, Refused:
-		g.avoid.Store(a.Node, time.Now().Add(avoidTime))
+		g.avoid.Store(a.Node, time.Now().Add(avoidDuration))
 		return true
 	case Unknown:
 		return true
@@ -149,8 +155,8 @@
 	}
 }
 
-// finalOutcome returns what the caller knows in the end. A last send that was refused or not run proves nothing about
-// earlier sends whose answers were lost.
+// finalOutcome returns the outcome of a call from those of its sends. If the last send was refused or not run, an
+// earlier one whose response was lost may still have run.
 func finalOutcome(attempts []Attempt) Outcome {
 	outcome := Refused
 	uncertain := false
@@ -166,11 +172,11 @@
 	return outcome
 }
 
-func (g *Generator) count(call *Call) {
+func (g *Generator) countOutcome(call *Call) {
 	g.ended.Add(1)
 	switch call.Outcome {
 	case Done:
-		g.whole.Add(1)
+		g.succeeded.Add(1)
 	case NotRun:
 		g.notRun.Add(1)
 	case Unknown:
@@ -178,16 +184,16 @@
 	}
 }
 
-// Progress returns the current counts.
+// Progress returns the counts of calls so far.
 func (g *Generator) Progress() Progress {
 	return Progress{
-		Offered: g.offered.Load(), Ended: g.ended.Load(), Succeeded: g.whole.Load(),
+		Offered: g.offered.Load(), Ended: g.ended.Load(), Succeeded: g.succeeded.Load(),
 		NotRun: g.notRun.Load(), Unknown: g.unknown.Load(),
 	}
 }
 
-// pick draws a node other than the last one, and one that is not avoided if there is any.
-func (g *Generator) pick(rng *rand.Rand, last string) Node {
+// pickNode picks a random node other than the last one, if possible one that is not avoided.
+func (g *Generator) pickNode(rng *rand.Rand, last string) Node {
 	nodes := g.options.Nodes
 	first := rng.IntN(len(nodes))
 	fallback := nodes[first]
@@ -207,11 +213,12 @@
 	return fallback
 }
 
-// patience returns how long an attempt may take before the caller sends again. Callers wait for reports to the end.
-func (g *Generator) patience(call *Call) time.Duration {
+// attemptTimeout returns how long an attempt may take before the caller sends again. Reports take long, so callers wait
+// for them until the deadline.
+func (g *Generator) attemptTimeout(call *Call) time.Duration {
 	switch {
 	case call.Route.Class == bundle.ClassReport:
-		return call.Deadline + lateSlack
+		return call.Deadline + listenMargin
 	case g.options.AttemptTimeout > 0:
 		return g.options.AttemptTimeout
 	default:
@@ -227,18 +234,19 @@
 	return http.MethodGet
 }
 
-func setHeaders(h http.Header, call *Call, a arrival, attempt string, left time.Duration) {
+// setHeaders sets the headers of an attempt; remaining is the time left until the deadline of the call.
+func setHeaders(h http.Header, call *Call, a arrival, attempt string, remaining time.Duration) {
 	h.Set(standin.HeaderRequest, call.Request)
 	h.Set(standin.HeaderAttempt, attempt)
 	h.Set(standin.HeaderClass, string(call.Route.Class))
-	h.Set(standin.HeaderDeadline, fmt.Sprint(max(1, left.Milliseconds())))
+	h.Set(standin.HeaderDeadline, fmt.Sprint(max(1, remaining.Milliseconds())))
 	if call.Route.Class == bundle.ClassIrreversible {
 		h.Set(standin.HeaderIdempotencyKey, call.Request)
 	}
 	if a.crash {
 		h.Set(standin.HeaderCrash, "1")
 	}
-	if a.nest > 0 {
-		h.Set(standin.HeaderNest, fmt.Sprint(a.nest))
+	if a.nestDepth > 0 {
+		h.Set(standin.HeaderNest, fmt.Sprint(a.nestDepth))
 	}
 }
--- a/experiment/load/load.go
+++ b/experiment/load/load.go
@@ -1,4 +1,5 @@
-// Package load generates calls in an open loop and records what callers were told.
+// Package load makes calls to the nodes of an experiment in an open loop, that is, at times that do not depend on the
+// responses, and records which outcome the callers learned.
 package load
 
 import (
@@ -17,7 +18,7 @@
 // Rates are arrivals per second by route.
 type Rates map[Route]float64
 
-// Phase is a time of constant rates.
+// Phase is a period with constant rates.
 type Phase struct {
 	Duration time.Duration
 	Rates    Rates
@@ -36,25 +37,28 @@
 	// Dial opens the callers' connections.
 	Dial   shape.DialFunc
 	Phases []Phase
-	// Path returns the path of a route.
-	Path      func(Route) string
+	// Path returns the URL path of a route.
+	Path func(Route) string
+	// Deadlines are the times that callers allow for a call, by class.
 	Deadlines map[bundle.Class]time.Duration
-	// RoundTrip is the time on the wire between callers and nodes; the deadline that callers send is shorter by it.
+	// RoundTrip is the network round-trip time between callers and nodes. The deadline that callers send to a node is
+	// shorter by it.
 	RoundTrip time.Duration
-	// CancelRate is the share of callers that leave before the answer.
+	// CancelRate is the share of calls, from 0 to 1, whose callers close the connection before the response.
 	CancelRate float64
-	// AttemptTimeout is the time after which a caller takes an answer for lost and sends again to another node; 0 takes
+	// AttemptTimeout is the time after which a caller gives up an attempt and sends the call to another node; 0 means
 	// half of the deadline.
 	AttemptTimeout time.Duration
-	// MaxSends bounds how often a call is sent; 0 takes defaultSends.
+	// MaxSends is the maximum number of times that a call is sent; 0 means defaultMaxSends.
 	MaxSends int
-	// CrashRate and NestRate are additional lookups per second that crash their upstream, or nest to NestDepth.
+	// CrashRate and NestRate are additional lookups per second that crash their upstream, or that make
+	// nested calls: NestDepth calls in all, each made by the upstream of the one before.
 	CrashRate float64
 	NestRate  float64
 	NestDepth int
 }
 
-// Outcome is what a caller was told.
+// Outcome is what a caller knows about an attempt or a call.
 type Outcome string
 
 // The outcomes. The first three are values of the header Sapphire-Outcome.
@@ -62,15 +66,15 @@
 	Done    Outcome = "done"
 	NotRun  Outcome = "not-run"
 	Unknown Outcome = "unknown"
-	// Lost is an attempt without an answer: a broken connection or the end of the caller's patience.
+	// Lost means that no complete response came: the connection broke, or the attempt timed out or was cancelled.
 	Lost Outcome = "lost"
-	// Refused is an attempt whose connection could not be opened, so that nothing was sent.
+	// Refused means that the connection could not be opened, so that nothing was sent.
 	Refused Outcome = "refused"
-	// Failed is an answer that is neither a whole response nor has a valid outcome.
+	// Failed means that a response came that is neither correct nor states one of the other outcomes.
 	Failed Outcome = "failed"
 )
 
-// Attempt is one send of a call.
+// Attempt is one send of a call to one node.
 type Attempt struct {
 	ID         string
 	Node       string
@@ -79,13 +83,13 @@
 	SentAt  time.Time
 	Outcome Outcome
 	Status  int
-	// Receipt identifies the run that the answer claims.
+	// Receipt identifies the run on an upstream that the response says it comes from.
 	Receipt string
-	// WrongResponse describes a complete answer that was altered or belongs to another request.
+	// WrongResponse says what is wrong with a complete response that was altered or belongs to another request.
 	WrongResponse string
 	// Error is the error of the HTTP client, if there was one.
 	Error string
-	// ConnectionBroken reports that the connection ended under the attempt, and not the caller's patience.
+	// ConnectionBroken reports that the attempt ended because the connection broke, not by a timeout or cancellation.
 	ConnectionBroken bool
 	// Replayed reports that the HTTP client sent the request twice; an outcome then covers only one of the sends.
 	Replayed  bool
@@ -101,19 +105,19 @@
 	Deadline time.Duration
 	Attempts []Attempt
 	Outcome  Outcome
-	// Cancelled reports that the caller went away before the answer.
+	// Cancelled reports that the caller closed the connection before the deadline without a response.
 	Cancelled bool
-	// Special marks the calls that crash or nest; they are not part of the goodput.
+	// Special marks calls that crash their upstream or make nested calls. They do not count for the goodput.
 	Special bool
 }
 
 // Succeeded reports whether the caller received its complete and correct response.
 func (c *Call) Succeeded() bool { return c.Outcome == Done }
 
-// MetDeadline reports whether the whole response came within the deadline.
+// MetDeadline reports whether the call succeeded within its deadline.
 func (c *Call) MetDeadline() bool { return c.Succeeded() && c.End.Sub(c.Start) <= c.Deadline }
 
-// Progress counts calls while the load runs.
+// Progress counts the calls so far, while the load runs: those started, those ended, and three of the outcomes.
 type Progress struct {
 	Offered, Ended, Succeeded, NotRun, Unknown int64
 }
--- a/experiment/load/load_test.go
+++ b/experiment/load/load_test.go
@@ -20,7 +20,7 @@
 	reports = Route{Service: "rank", Class: bundle.ClassReport}
 )
 
-// schedule returns all arrivals.
+// schedule returns all arrivals of a load.
 func schedule(o Options) (all []arrival) {
 	source := newArrivals(o)
 	for {
@@ -32,9 +32,10 @@
 	}
 }
 
+// count returns the number of arrivals of a route with offsets from from to before to.
 func count(all []arrival, route Route, from, to time.Duration) (n int) {
 	for _, a := range all {
-		if a.route == route && a.at >= from && a.at < to {
+		if a.route == route && a.offset >= from && a.offset < to {
 			n++
 		}
 	}
@@ -55,20 +56,21 @@
 		Expect(schedule(options)).NotTo(Equal(schedule(other)))
 	})
 
-	// Guards against a phase whose rate is not the one asked for; the bounds are five standard deviations.
+	// Guards against arrivals that do not follow the rates of the options, or are out of order. The bounds are five
+	// standard deviations.
 	ginkgo.It("follows the rates of each phase in order of time", func() {
 		all := schedule(options)
 		Expect(count(all, lookups, 0, 10*time.Second)).To(BeNumerically("~", 10_000, 500))
 		Expect(count(all, lookups, 10*time.Second, 20*time.Second)).To(BeNumerically("~", 20_000, 710))
 		Expect(count(all, reports, 0, 20*time.Second)).To(BeNumerically("~", 2000, 225))
-		leavers := 0
+		cancelled := 0
 		for i, a := range all {
-			Expect(i == 0 || a.at >= all[i-1].at).To(BeTrue())
-			if a.left > 0 {
-				leavers++
+			Expect(i == 0 || a.offset >= all[i-1].offset).To(BeTrue())
+			if a.cancelAfter > 0 {
+				cancelled++
 			}
 		}
-		Expect(leavers).To(BeNumerically("~", len(all)/10, 270))
+		Expect(cancelled).To(BeNumerically("~", len(all)/10, 270))
 	})
 
 	// Guards against special calls that change the ordinary load of a seed.
@@ -81,8 +83,8 @@
 			switch {
 			case a.crash:
 				crashes++
-			case a.nest > 0:
-				Expect(a.nest).To(Equal(21))
+			case a.nestDepth > 0:
+				Expect(a.nestDepth).To(Equal(21))
 				nests++
 			default:
 				ordinary = append(ordinary, a)
@@ -96,7 +98,7 @@
 
 var _ = ginkgo.Describe("finalOutcome", func() {
 	// Guards against a call that counts as not run although an earlier send may have run.
-	ginkgo.DescribeTable("tells what the caller knows in the end", func(want Outcome, sends ...Outcome) {
+	ginkgo.DescribeTable("derives the outcome of a call from the outcomes of its sends", func(want Outcome, sends ...Outcome) {
 		var attempts []Attempt
 		for _, outcome := range sends {
 			attempts = append(attempts, Attempt{Outcome: outcome})
@@ -113,7 +115,7 @@
 })
 
 var _ = ginkgo.Describe("requestID", func() {
-	// Guards against keys that a node refuses, or that two calls share.
+	// Guards against idempotency keys that a node refuses because they are no UUIDs, or that two calls share.
 	ginkgo.It("returns distinct version 7 UUIDs", func() {
 		pattern := `^[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}$`
 		seen := make(map[string]bool)
--- a/experiment/load/send.go
+++ b/experiment/load/send.go
@@ -18,11 +18,11 @@
 	"sapphiregate.example/sapphiregate/state/bundle"
 )
 
-// plainReader hides the type of a body from net/http, which would otherwise send the request again by itself after a
-// broken connection.
-type plainReader struct{ io.Reader }
+// opaqueReader hides the type of a body from net/http, which would otherwise send the request again by itself after the
+// connection breaks.
+type opaqueReader struct{ io.Reader }
 
-// send makes one attempt and judges its answer.
+// send makes one attempt and checks its response.
 func (g *Generator) send(ctx context.Context, call *Call, a arrival, node Node, ordinal int) Attempt {
 	attempt := Attempt{ID: fmt.Sprintf("%s#%d", call.Request, ordinal), Node: node.ID, Start: time.Now()}
 	var connections atomic.Int64
@@ -37,7 +37,7 @@
 	// The last send may use all the time that is left.
 	if ordinal < g.options.MaxSends-1 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, g.patience(call))
+		ctx, cancel = context.WithTimeout(ctx, g.attemptTimeout(call))
 		defer cancel()
 	}
 	request, err := g.request(httptrace.WithClientTrace(ctx, trace), call, a, node, attempt.ID)
@@ -47,9 +47,9 @@
 	}
 	response, err := g.client.Do(request)
 	if err == nil {
-		g.judge(&attempt, call, response)
+		g.evaluate(&attempt, call, response)
 	} else {
-		attempt.fail(ctx, err)
+		attempt.recordError(ctx, err)
 	}
 	attempt.End = time.Now()
 	attempt.Replayed = connections.Load() > 1
@@ -59,11 +59,12 @@
 	return attempt
 }
 
+// request builds the HTTP request of an attempt.
 func (g *Generator) request(ctx context.Context, call *Call, a arrival, node Node, attempt string) (*http.Request, error) {
 	var body io.Reader
 	if call.Route.Class == bundle.ClassIrreversible {
 		// The body is the same in every send, because a key that is reused for another body is refused.
-		body = plainReader{strings.NewReader(`{"request":"` + call.Request + `"}`)}
+		body = opaqueReader{strings.NewReader(`{"request":"` + call.Request + `"}`)}
 	}
 	request, err := http.NewRequestWithContext(ctx, method(call.Route.Class), "http://"+node.Address+g.options.Path(call.Route), body)
 	if err != nil {
@@ -73,8 +74,8 @@
 	return request, nil
 }
 
-// fail records an attempt without an answer.
-func (a *Attempt) fail(ctx context.Context, err error) {
+// recordError records an attempt that ended with an error instead of a complete response.
+func (a *Attempt) recordError(ctx context.Context, err error) {
 	a.Error = err.Error()
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -85,13 +86,13 @@
 	a.ConnectionBroken = ctx.Err() == nil
 }
 
-// judge reads a response and checks it.
-func (g *Generator) judge(a *Attempt, call *Call, response *http.Response) {
+// evaluate reads and checks a response, and sets the outcome of the attempt.
+func (g *Generator) evaluate(a *Attempt, call *Call, response *http.Response) {
 	defer response.Body.Close()
 	a.Status = response.StatusCode
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		a.fail(response.Request.Context(), err)
+		a.recordError(response.Request.Context(), err)
 		return
 	}
 	if micros, err := strconv.ParseInt(response.Header.Get(standin.HeaderAddedTime), 10, 64); err == nil {
@@ -101,17 +102,17 @@
 	if a.Outcome != Done {
 		return
 	}
-	answer, err := standin.CheckResponse(response.Header, body, call.Request)
+	content, err := standin.CheckResponse(response.Header, body, call.Request)
 	if err != nil {
 		a.Outcome = Failed
 		a.WrongResponse = err.Error()
 		return
 	}
-	a.Receipt = answer.Receipt
+	a.Receipt = content.Receipt
 }
 
-// outcomeOf returns what the response tells. Only a response with status 200 is one of the application's answers; an
-// error of the application is done, but not whole.
+// outcomeOf returns the outcome that a response states. Applications respond with status 200 to every request that they
+// complete; any other status is an error of the application even if the outcome is done, and counts as Failed.
 func outcomeOf(response *http.Response) Outcome {
 	outcome := Outcome(response.Header.Get(standin.HeaderOutcome))
 	switch {
