--- a/experiment/slope/command.go
+++ b/experiment/slope/command.go
@@ -10,13 +10,13 @@
 	"sapphiregate.example/sapphiregate/experiment"
 )
 
-// result is the JSON output.
+// result is the JSON output of the command.
 type result struct {
 	Points []Point `json:"points"`
 	Fits   []Fit   `json:"fits,omitempty"`
 }
 
-// NewCommand returns the command "slope" on a deployment.
+// NewCommand returns the command "slope", which measures deployments that factory creates.
 func NewCommand(factory experiment.Factory) *cobra.Command {
 	var profileName, charts string
 	var sizes []int
@@ -59,9 +59,9 @@
 	flags := command.Flags()
 	flags.StringVar(&profileName, "profile", "kalasag", "profile to emulate")
 	flags.IntSliceVar(&sizes, "sizes", []int{50, 200, 800}, "numbers of nodes")
-	flags.DurationVar(&config.Idle, "idle", 10*time.Second, "time for which the idle fleet is watched")
-	flags.IntVar(&config.Rollouts, "rollouts", 20, "versions that are rolled out")
-	flags.IntVar(&config.Announcements, "announcements", 100, "announcements that are changed")
+	flags.DurationVar(&config.Idle, "idle", 10*time.Second, "time over which the idle deployment is measured")
+	flags.IntVar(&config.Rollouts, "rollouts", 20, "number of versions to roll out")
+	flags.IntVar(&config.Announcements, "announcements", 100, "number of upstream announcements to change")
 	flags.StringVar(&charts, "charts", "", "prefix of the SVG charts; empty draws none")
 	return command
 }
--- a/experiment/slope/fit.go
+++ b/experiment/slope/fit.go
@@ -8,14 +8,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Metric is one column of the points.
+// Metric is a quantity that each point has a value of.
 type Metric struct {
-	Name string
-	Unit string
-	Of   func(Point) float64
+	Name  string
+	Unit  string
+	Value func(Point) float64
 }
 
-// Metrics lists what is fitted against the number of nodes.
+// Metrics returns the metrics that are fitted against the number of nodes.
 func Metrics() []Metric {
 	return []Metric{
 		{"idle-cpu", "ms/s", func(p Point) float64 { return p.IdleCPU }},
@@ -31,24 +31,24 @@
 	}
 }
 
-// Fit is a straight line through the points of one metric.
+// Fit is the least-squares line through the points of one metric: value = Base + Slope * nodes.
 type Fit struct {
 	Metric string `json:"metric"`
 	Unit   string `json:"unit"`
-	// Base is the value at 0 nodes, Slope the growth with each node.
+	// Base is the value at 0 nodes, Slope the increase for each node, both in Unit.
 	Base  float64 `json:"base"`
 	Slope float64 `json:"slope"`
-	// RSquared tells how much of the variation the line explains.
+	// RSquared is the coefficient of determination: 1 if all points lie on the line.
 	RSquared float64 `json:"r_squared"`
 }
 
-// errFewPoints means that no line can be fitted.
-var errFewPoints = errors.New("slope: a fit needs points at two sizes")
+// errTooFewPoints is returned by Fits and Draw for fewer than two points.
+var errTooFewPoints = errors.New("slope: a fit needs at least two points")
 
-// Fits fits every metric.
+// Fits fits a line to every metric. It returns an error for fewer than two points.
 func Fits(points []Point) ([]Fit, error) {
 	if len(points) < 2 {
-		return nil, errFewPoints
+		return nil, errTooFewPoints
 	}
 	var fits []Fit
 	for _, metric := range Metrics() {
@@ -62,10 +62,11 @@
 	return fits, nil
 }
 
+// columns returns the numbers of nodes and the values of a metric.
 func columns(points []Point, metric Metric) (x, y []float64) {
 	for _, point := range points {
 		x = append(x, float64(point.Nodes))
-		y = append(y, metric.Of(point))
+		y = append(y, metric.Value(point))
 	}
 	return x, y
 }
@@ -75,7 +76,8 @@
 	chartHeight = 4 * vg.Inch
 )
 
-// Draw writes one chart for each metric, with the points and the fitted line, and returns the file names.
+// Draw writes one chart for each metric, with the points and the fitted line, to the file PREFIX + metric name + "." +
+// format. It returns the names of the files written.
 func Draw(points []Point, prefix, format string) ([]string, error) {
 	fits, err := Fits(points)
 	if err != nil {
@@ -84,7 +86,7 @@
 	var files []string
 	for i, metric := range Metrics() {
 		file := prefix + metric.Name + "." + format
-		if err := drawOne(points, metric, fits[i], file); err != nil {
+		if err := drawChart(points, metric, fits[i], file); err != nil {
 			return files, err
 		}
 		files = append(files, file)
@@ -92,7 +94,7 @@
 	return files, nil
 }
 
-func drawOne(points []Point, metric Metric, fit Fit, file string) error {
+func drawChart(points []Point, metric Metric, fit Fit, file string) error {
 	chart := plot.New()
 	chart.Title.Text = metric.Name
 	chart.X.Label.Text = "nodes"
--- a/experiment/slope/slope.go
+++ b/experiment/slope/slope.go
@@ -1,5 +1,5 @@
-// Package slope measures how the cost of the control plane grows with the number of nodes: real nodes and members in
-// one process, without calls.
+// Package slope measures how the cost of the control plane grows with the number of nodes. It runs the real
+// nodes and control members in one process, and makes no calls through them.
 package slope
 
 import (
@@ -25,42 +25,46 @@
 	"sapphiregate.example/sapphiregate/transport/shape"
 )
 
-// Config is one measurement.
+// Config describes one measurement.
 type Config struct {
 	Profile experiment.Profile
 	Nodes   int
-	// Idle is how long the fleet is watched without changes.
+	// Idle is the time over which the deployment is measured without changes.
 	Idle time.Duration
-	// Rollouts and Announcements are the changes that are made and measured.
+	// Rollouts and Announcements are the numbers of versions and of upstream announcements whose cost is measured.
 	Rollouts      int
 	Announcements int
 	Factory       experiment.Factory
 }
 
-// Point is the result of one measurement. Rates are of the whole process: the members and all nodes.
+// Point is the result of one measurement. All values are of the whole process, that is, of the members
+// and all nodes together.
 type Point struct {
 	Nodes   int `json:"nodes"`
 	Members int `json:"members"`
-	// IdleCPU is the processor time per second of an idle fleet, in milliseconds.
+	// IdleCPU is the processor time per second of the idle deployment, in milliseconds.
 	IdleCPU float64 `json:"idle_cpu_ms_per_s"`
-	// IdleBytes is the control traffic of an idle fleet, in bytes per second.
+	// IdleBytes is the control traffic of the idle deployment, in bytes per second.
 	IdleBytes float64 `json:"idle_control_bytes_per_s"`
-	// IdleCrossZone is its share between zones.
+	// IdleCrossZone is the part of IdleBytes that crosses zones, in bytes per second.
 	IdleCrossZone float64 `json:"idle_cross_zone_bytes_per_s"`
-	HeapBytes     float64 `json:"heap_and_stack_bytes"`
-	Goroutines    float64 `json:"goroutines"`
-	// RolloutCPU and RolloutBytes are what one version costs beyond the idle fleet.
+	// HeapBytes is the memory in use by heap and stacks after a garbage collection.
+	HeapBytes  float64 `json:"heap_and_stack_bytes"`
+	Goroutines float64 `json:"goroutines"`
+	// RolloutCPU (milliseconds) and RolloutBytes are what one version costs above the idle deployment.
 	RolloutCPU   float64 `json:"rollout_cpu_ms"`
 	RolloutBytes float64 `json:"rollout_control_bytes"`
-	// AnnouncementCPU and AnnounceBytes are what one changed announcement costs beyond the idle fleet.
-	AnnouncementCPU   float64      `json:"announcement_cpu_ms"`
-	AnnouncementBytes float64      `json:"announcement_control_bytes"`
-	ConvergenceMs     Distribution `json:"convergence_ms"`
-	// ProfileName tells the emulated deployment.
+	// AnnouncementCPU (milliseconds) and AnnouncementBytes are what one changed announcement costs above the idle
+	// deployment.
+	AnnouncementCPU   float64 `json:"announcement_cpu_ms"`
+	AnnouncementBytes float64 `json:"announcement_control_bytes"`
+	// ConvergenceMs is the time from the approval of a version until it is in force on every node.
+	ConvergenceMs Distribution `json:"convergence_ms"`
+	// ProfileName is the name of the emulated profile.
 	ProfileName string `json:"profile"`
 }
 
-// Distribution is a distribution.
+// Distribution holds quantiles and the maximum of a distribution.
 type Distribution struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
@@ -71,15 +75,17 @@
 	operatorName   = "operator"
 	startTimeout   = 3 * time.Minute
 	rolloutTimeout = 30 * time.Second
-	// settleTime lets joins, first announcements and garbage end before the idle fleet is watched.
+	// settleTime is the delay before the idle deployment is measured, so that joins, first announcements and garbage
+	// collection after the start do not count as idle cost.
 	settleTime = 4 * time.Second
-	// rolloutPause separates versions, so that one does not wait for the other.
+	// rolloutPause is the delay between versions, so that one rollout does not slow down the next.
 	rolloutPause = 300 * time.Millisecond
-	// announcePause spreads announcements; the last ones get spreadTime to reach all nodes.
-	announcePause  = 20 * time.Millisecond
-	spreadTime     = 2 * time.Second
-	announceAtOnce = 32
-	slots          = 10
+	// announcementInterval is the delay between announcements. After the last one, propagationTime is the time for it to
+	// reach all nodes.
+	announcementInterval     = 20 * time.Millisecond
+	propagationTime          = 2 * time.Second
+	maxParallelAnnouncements = 32
+	initialSlots             = 10
 )
 
 // fleet is a running deployment under measurement.
@@ -88,29 +94,32 @@
 	network    *shape.Network
 	deployment experiment.Deployment
 	nodes      []experiment.NodeSpec
-	upstream   net.Listener
-	client     *http.Client
-	version    uint64
+	// upstream is the one listener that all nodes are told is their upstream.
+	upstream net.Listener
+	client   *http.Client
+	// version is the latest version that was built.
+	version uint64
 
-	mu      sync.Mutex
-	waiting map[uint64]*swaps
+	mu          sync.Mutex
+	activations map[uint64]*activation
 }
 
-// swaps counts the nodes that have a version in force.
-type swaps struct {
-	left int
-	last time.Time
-	done chan struct{}
+// activation tracks on how many nodes a version is not in force yet. done is closed when it is in force on all of them,
+// and lastAt is the time at which the latest node put it in force.
+type activation struct {
+	remaining int
+	lastAt    time.Time
+	done      chan struct{}
 }
 
-// Measure starts a fleet, watches it and ends it.
+// Measure starts a deployment, measures it and stops it.
 func Measure(ctx context.Context, config Config) (Point, error) {
 	folder, err := os.MkdirTemp("", "sapphiregate-slope-")
 	if err != nil {
 		return Point{}, errors.Wrap(err, "slope: create data folder")
 	}
 	defer os.RemoveAll(folder)
-	f := &fleet{config: config, waiting: make(map[uint64]*swaps), client: &http.Client{Timeout: rolloutTimeout}}
+	f := &fleet{config: config, activations: make(map[uint64]*activation), client: &http.Client{Timeout: rolloutTimeout}}
 	if err := f.start(ctx, folder); err != nil {
 		f.stop()
 		return Point{}, err
@@ -119,6 +128,7 @@
 	return f.measure(ctx)
 }
 
+// start starts the deployment with its first version and announces an upstream to each node.
 func (f *fleet) start(ctx context.Context, folder string) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -129,14 +139,14 @@
 	if err != nil {
 		return errors.Wrap(err, "slope: generate key")
 	}
-	initial, err := f.next()
+	initial, err := f.nextVersion()
 	if err != nil {
 		return err
 	}
-	f.expect(initial.Approval.Version)
+	f.trackVersion(initial.Approval.Version)
 	f.deployment, err = f.config.Factory(experiment.Spec{
 		Profile: f.config.Profile, Network: f.network, Members: f.config.Profile.Members(), Nodes: f.nodes,
-		Operators: map[string]ed25519.PrivateKey{operatorName: key}, Initial: initial, OnApplied: f.applied,
+		Operators: map[string]ed25519.PrivateKey{operatorName: key}, Initial: initial, OnApplied: f.recordApplied,
 		DataFolder: folder,
 	})
 	if err != nil {
@@ -160,8 +170,8 @@
 	}
 }
 
-// next returns the next version: the profile's bundle with one changed resource.
-func (f *fleet) next() (experiment.Signed, error) {
+// nextVersion returns the bundle and approval of the next version: the profile's bundle with one changed resource.
+func (f *fleet) nextVersion() (experiment.Signed, error) {
 	f.version++
 	b := f.config.Profile.Bundle(f.version)
 	update, err := bundle.FullUpdate(b)
@@ -171,30 +181,33 @@
 	}, err
 }
 
-func (f *fleet) expect(version uint64) *swaps {
+// trackVersion starts to count the nodes that put a version in force.
+func (f *fleet) trackVersion(version uint64) *activation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := &swaps{left: f.config.Nodes, done: make(chan struct{})}
-	f.waiting[version] = s
+	s := &activation{remaining: f.config.Nodes, done: make(chan struct{})}
+	f.activations[version] = s
 	return s
 }
 
-func (f *fleet) applied(a experiment.Applied) {
+// recordApplied records that a node has put a version in force.
+func (f *fleet) recordApplied(a experiment.Applied) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := f.waiting[a.Version]
+	s := f.activations[a.Version]
 	if s == nil {
 		return
 	}
-	s.left--
-	s.last = a.At
-	if s.left == 0 {
+	s.remaining--
+	s.lastAt = a.At
+	if s.remaining == 0 {
 		close(s.done)
-		delete(f.waiting, a.Version)
+		delete(f.activations, a.Version)
 	}
 }
 
-// announceAll gives every node an upstream: one listener that accepts connections, since no calls are made.
+// announceAll announces an upstream to every node. All share one listener that accepts and closes connections, which is
+// enough because no calls are made.
 func (f *fleet) announceAll(ctx context.Context) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -203,9 +216,9 @@
 	f.upstream = listener
 	go acceptAndClose(listener)
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(announceAtOnce)
+	group.SetLimit(maxParallelAnnouncements)
 	for i := range f.nodes {
-		group.Go(func() error { return f.announce(ctx, i, slots) })
+		group.Go(func() error { return f.announce(ctx, i, initialSlots) })
 	}
 	return group.Wait()
 }
@@ -220,6 +233,7 @@
 	}
 }
 
+// announce announces the upstream with a number of slots to the node with the given index.
 func (f *fleet) announce(ctx context.Context, node, slots int) error {
 	services := f.config.Profile.Services
 	body, err := json.Marshal(map[string]any{
@@ -244,11 +258,11 @@
 	return nil
 }
 
-// usage is what the process has used so far.
+// usage is the processor time and control traffic of the process from its start until at.
 type usage struct {
-	at           time.Time
-	cpu          time.Duration
-	total, cross int64
+	at                           time.Time
+	cpu                          time.Duration
+	controlBytes, crossZoneBytes int64
 }
 
 func (f *fleet) usage() usage {
@@ -257,10 +271,11 @@
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	total, cross := f.deployment.ControlBytes()
 	return usage{
-		at: time.Now(), cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), total: total, cross: cross,
+		at: time.Now(), cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), controlBytes: total, crossZoneBytes: cross,
 	}
 }
 
+// measure measures the idle deployment, then rollouts and announcements, whose cost is taken above the idle one.
 func (f *fleet) measure(ctx context.Context) (Point, error) {
 	sleep(ctx, settleTime)
 	point := Point{Nodes: f.config.Nodes, Members: len(f.deployment.Members()), ProfileName: f.config.Profile.Name}
@@ -269,8 +284,8 @@
 	after := f.usage()
 	seconds := after.at.Sub(before.at).Seconds()
 	point.IdleCPU = milliseconds(after.cpu-before.cpu) / seconds
-	point.IdleBytes = float64(after.total-before.total) / seconds
-	point.IdleCrossZone = float64(after.cross-before.cross) / seconds
+	point.IdleBytes = float64(after.controlBytes-before.controlBytes) / seconds
+	point.IdleCrossZone = float64(after.crossZoneBytes-before.crossZoneBytes) / seconds
 	runtime.GC()
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -282,6 +297,7 @@
 	return point, f.measureAnnouncements(ctx, &point)
 }
 
+// measureRollouts rolls out versions one after another and sets their cost and convergence times in the point.
 func (f *fleet) measureRollouts(ctx context.Context, point *Point) error {
 	times := hdrhistogram.New(1, rolloutTimeout.Microseconds(), 3)
 	before := f.usage()
@@ -293,7 +309,7 @@
 		_ = times.RecordValue(took.Microseconds())
 		sleep(ctx, rolloutPause)
 	}
-	cost := f.beyondIdle(before, point)
+	cost := f.costAboveIdle(before, point)
 	if f.config.Rollouts > 0 {
 		point.RolloutCPU = cost.cpu / float64(f.config.Rollouts)
 		point.RolloutBytes = cost.bytes / float64(f.config.Rollouts)
@@ -305,11 +321,12 @@
 	return nil
 }
 
-// rollOut stages and approves the next version and returns the time from sign-off until it is in force on every node.
+// rollOut stages and approves the next version and returns the time from the approval until it is in force on every
+// node.
 func (f *fleet) rollOut(ctx context.Context) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
-	signed, err := f.next()
+	signed, err := f.nextVersion()
 	if err != nil {
 		return 0, err
 	}
@@ -320,29 +337,30 @@
 	if verdict, err := f.deployment.Stage(ctx, member, signed); err != nil || !verdict.Accepted {
 		return 0, errors.Newf("slope: stage: %s %v", verdict.Reason, err)
 	}
-	reached := f.expect(signed.Approval.Version)
-	signedOff := time.Now()
+	activated := f.trackVersion(signed.Approval.Version)
+	approvedAt := time.Now()
 	if verdict, err := f.deployment.Approve(ctx, member, signed); err != nil || !verdict.Accepted {
 		return 0, errors.Newf("slope: approve: %s %v", verdict.Reason, err)
 	}
 	select {
-	case <-reached.done:
-		return reached.last.Sub(signedOff), nil
+	case <-activated.done:
+		return activated.lastAt.Sub(approvedAt), nil
 	case <-ctx.Done():
-		return 0, errors.Newf("slope: version %d is missing on %d nodes", signed.Approval.Version, reached.left)
+		return 0, errors.Newf("slope: version %d is missing on %d nodes", signed.Approval.Version, activated.remaining)
 	}
 }
 
+// measureAnnouncements changes the announced slots of nodes in turn and sets the cost of a change in the point.
 func (f *fleet) measureAnnouncements(ctx context.Context, point *Point) error {
 	before := f.usage()
 	for i := range f.config.Announcements {
-		if err := f.announce(ctx, i%len(f.nodes), slots+1+i/len(f.nodes)); err != nil {
+		if err := f.announce(ctx, i%len(f.nodes), initialSlots+1+i/len(f.nodes)); err != nil {
 			return err
 		}
-		sleep(ctx, announcePause)
+		sleep(ctx, announcementInterval)
 	}
-	sleep(ctx, spreadTime)
-	cost := f.beyondIdle(before, point)
+	sleep(ctx, propagationTime)
+	cost := f.costAboveIdle(before, point)
 	if f.config.Announcements > 0 {
 		point.AnnouncementCPU = cost.cpu / float64(f.config.Announcements)
 		point.AnnouncementBytes = cost.bytes / float64(f.config.Announcements)
@@ -353,19 +371,20 @@
 // cost is in milliseconds of processor time and bytes.
 type cost struct{ cpu, bytes float64 }
 
-// beyondIdle returns what was used since, less what the idle fleet uses in that time. It can be slightly negative
-// where the changes cost less than the noise of the idle figure.
-func (f *fleet) beyondIdle(before usage, point *Point) cost {
+// costAboveIdle returns what was used since before, less what the idle deployment uses in that time. It can be slightly
+// negative if the changes cost less than the noise of the idle measurement.
+func (f *fleet) costAboveIdle(before usage, point *Point) cost {
 	after := f.usage()
 	seconds := after.at.Sub(before.at).Seconds()
 	return cost{
 		cpu:   milliseconds(after.cpu-before.cpu) - point.IdleCPU*seconds,
-		bytes: float64(after.total-before.total) - point.IdleBytes*seconds,
+		bytes: float64(after.controlBytes-before.controlBytes) - point.IdleBytes*seconds,
 	}
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
