--- a/experiment/standin/standin.go
+++ b/experiment/standin/standin.go
@@ -30,7 +30,8 @@
 	NodeAdminAddress string
 	NodeAddress      string
 	// NestPaths are the URL paths that nested calls use in turn.
-	NestPaths   []string
+	NestPaths []string
+	// Slots is how many requests run at once. Requests beyond Connections, running and waiting, are shed.
 	Slots       int
 	Connections int
 	// ConnectDelay is the extra time before the first byte of a new connection is read.
@@ -74,25 +75,28 @@
 	stopTimeout = 10 * time.Second
 )
 
-// ErrStopped reports an operation on an upstream that does not run.
+// ErrStopped is returned by Drain for an upstream that was never started.
 var ErrStopped = errors.New("standin: upstream is stopped")
 
 // Upstream is one emulated upstream. It is safe for concurrent use.
 type Upstream struct {
-	options     Options
-	address     string
-	client      *http.Client
-	announce    *announcer
-	faults      atomic.Pointer[Faults]
-	slots       chan struct{}
+	options  Options
+	address  string
+	client   *http.Client
+	announce *announcer
+	faults   atomic.Pointer[Faults]
+	// slots holds one element for each slot in use.
+	slots chan struct{}
+	// admitted counts the requests in the upstream, running those of them that have a slot.
 	admitted    atomic.Int64
 	running     atomic.Int64
 	receipts    atomic.Int64
 	loadReports loadReportCache
 
-	mu            sync.Mutex
-	server        *http.Server
-	started       time.Time
+	mu      sync.Mutex
+	server  *http.Server
+	started time.Time
+	// warm is set during the first run of the server, which has its full speed from the start.
 	warm          bool
 	drainingSince time.Time
 	// stopped prevents the automatic restart after a crash. killed is set from a kill or crash until the next start.
