--- a/experiment/standin/announcer.go
+++ b/experiment/standin/announcer.go
@@ -74,9 +74,14 @@
 	return a
 }
 
-func (a *announcer) serving()        { a.set(announceServing) }
+// serving announces from now on that the upstream serves.
+func (a *announcer) serving() { a.set(announceServing) }
+
+// stopAnnouncing sends nothing more until the state changes again.
 func (a *announcer) stopAnnouncing() { a.set(announceNothing) }
-func (a *announcer) close()          { a.stop() }
+
+// close ends the goroutine that sends announcements.
+func (a *announcer) close() { a.stop() }
 
 // set changes the state and returns the channel that is closed if the node acknowledges draining in this state.
 func (a *announcer) set(s announceState) <-chan struct{} {
--- a/experiment/standin/handler.go
+++ b/experiment/standin/handler.go
@@ -77,6 +77,7 @@
 	_ = json.NewEncoder(w).Encode(report)
 }
 
+// load returns the current load; requests in the upstream that do not run wait for a slot.
 func (u *Upstream) load() LoadReport {
 	running := int(u.running.Load())
 	return LoadReport{InFlight: running, Queued: max(0, int(u.admitted.Load())-running), Slots: u.options.Slots}
@@ -103,6 +104,7 @@
 	}
 }
 
+// serveCall sheds a request or runs it when a slot is free.
 func (u *Upstream) serveCall(w http.ResponseWriter, r *http.Request) {
 	c := u.newCall(r)
 	u.recordIfDraining(c)
